--- a/cmd/faultsoak/main.go
+++ b/cmd/faultsoak/main.go
@@ -1,5 +1,5 @@
-// Command faultsoak plays random, overlapping faults against a fleet of real gateway processes on loopback, and judges what
-// came of it by the rules of the protocol. It ends with exit code 1 if a rule was broken.
+// Command faultsoak injects random, overlapping faults into a fleet of real gateway processes on loopback, and checks the
+// observed behaviour against the rules of the protocol. It exits with code 1 if a rule was violated.
 //
 //	go build -o /tmp/soak/ ./cmd/faultsoak
 //	go build -tags faultinjection -o /tmp/soak/ ./cmd/sloepick
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "faultsoak", Short: "Random faults against real gateway processes", SilenceUsage: true}
+	root := &cobra.Command{Use: "faultsoak", Short: "Soak test: random faults in a fleet of real gateway processes", SilenceUsage: true}
 	root.AddCommand(runCommand(), roleCommand(faultsoak.RoleServer, runServer), roleCommand(faultsoak.RoleDiscovery, runDiscovery),
 		roleCommand(faultsoak.RoleProxy, runProxy))
 	if root.Execute() != nil {
@@ -30,27 +30,27 @@
 	var o faultsoak.Options
 	var seeds int
 	var verbose bool
-	cmd := &cobra.Command{Use: "run", Short: "Play seeds, one after the other", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "run", Short: "Run the test for one or more seeds, one after the other", Args: cobra.NoArgs}
 	flags := cmd.Flags()
 	flags.Uint64Var(&o.Seed, "seed", 1, "first seed")
-	flags.IntVar(&seeds, "seeds", 1, "how many seeds to play")
-	flags.DurationVar(&o.Duration, "duration", 20*time.Second, "traffic and troubles of a seed")
-	flags.IntVar(&o.Gateways, "gateways", 4, "gateway processes")
-	flags.IntVar(&o.Servers, "servers", 8, "card server processes")
-	flags.Float64Var(&o.Rate, "rate", 40, "requests a second at each gateway")
-	flags.IntVar(&o.ServiceMS, "service-ms", 30, "mean time of a card server for a request")
-	flags.IntVar(&o.Workers, "workers", 2, "requests that a card server works on at once")
-	flags.StringVar(&o.GatewayProgram, "gateway", "", "the gateway's program, built with -tags faultinjection")
+	flags.IntVar(&seeds, "seeds", 1, "number of consecutive seeds")
+	flags.DurationVar(&o.Duration, "duration", 20*time.Second, "duration of the traffic for each seed")
+	flags.IntVar(&o.Gateways, "gateways", 4, "number of gateway processes")
+	flags.IntVar(&o.Servers, "servers", 8, "number of card server processes")
+	flags.Float64Var(&o.Rate, "rate", 40, "mean number of client actions started per second at each gateway")
+	flags.IntVar(&o.ServiceMS, "service-ms", 30, "mean service time of a card server for a request, in milliseconds")
+	flags.IntVar(&o.Workers, "workers", 2, "number of requests that a card server processes concurrently")
+	flags.StringVar(&o.GatewayProgram, "gateway", "", "path of the gateway program, built with -tags faultinjection")
 	flags.StringVar(&o.Dir, "dir", os.TempDir(), "folder for logs and reports")
-	flags.StringVar(&o.Only, "only", "", "play only troubles whose name holds this")
-	flags.BoolVar(&verbose, "verbose", false, "print each trouble and violation")
+	flags.StringVar(&o.Only, "only", "", "inject only faults whose name contains this text")
+	flags.BoolVar(&verbose, "verbose", false, "print each fault and each violation")
 	if err := cmd.MarkFlagRequired("gateway"); err != nil {
 		panic(err) // the flag is declared above
 	}
 	cmd.RunE = func(*cobra.Command, []string) error {
 		self, err := os.Executable()
 		if err != nil {
-			return fmt.Errorf("finding this program: %w", err)
+			return fmt.Errorf("finding the path of this program: %w", err)
 		}
 		o.Self = self
 		return play(o, seeds, verbose)
@@ -58,7 +58,7 @@
 	return cmd
 }
 
-// play runs the seeds and sums up.
+// play runs the seeds one after the other and prints a summary. It returns an error if a seed failed.
 func play(o faultsoak.Options, seeds int, verbose bool) error {
 	red := 0
 	for range seeds {
@@ -82,6 +82,7 @@
 	return nil
 }
 
+// playSeed runs one seed. Unless verbose, its log goes to a file.
 func playSeed(o faultsoak.Options, verbose bool) (faultsoak.Report, error) {
 	path := fmt.Sprintf("%s/seed%d.log", o.Dir, o.Seed)
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
@@ -99,7 +100,7 @@
 	return faultsoak.Run(o)
 }
 
-// roleCommand is a process of the fleet, started by run with its configuration as JSON.
+// roleCommand returns the command of a stand-in process, which the run command starts with its configuration as JSON.
 func roleCommand(role string, serve func(config []byte) error) *cobra.Command {
 	return &cobra.Command{Use: role + " CONFIG", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return serve([]byte(args[0])) }}
--- a/cmd/sloepick/log_test.go
+++ b/cmd/sloepick/log_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	patience  = 20 * time.Second // for what must come
-	smallPipe = 4 << 10
+	waitTimeout = 20 * time.Second // for events that must happen
+	pipeBytes   = 4 << 10          // bytes; less than the log that the test causes
 )
 
-// freeAddr is an address on which nothing listens.
+// freeAddr returns an address on which nothing listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,10 +31,10 @@
 	return ln.Addr().String()
 }
 
-// ping waits until the gateway answers.
-func ping(t *testing.T, addr string) {
+// waitForPong waits until the gateway answers PING.
+func waitForPong(t *testing.T, addr string) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			continue
@@ -48,51 +48,52 @@
 			return
 		}
 	}
-	t.Error("the gateway does not answer PING")
+	t.Error("the gateway did not answer PING in time")
 }
 
-// A gateway serves and ends in order whatever becomes of its log: a collector that is gone must not end it, and one that
-// has stopped reading must not hold it up.
-func TestLogThatNobodyReads(t *testing.T) {
-	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+// A gateway must keep serving and shut down cleanly when the reader of its log is gone (a write then fails with EPIPE and
+// raises SIGPIPE) or has stopped reading (a write then blocks once the pipe is full).
+func TestStalledLogDoesNotStopGateway(t *testing.T) {
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[]}`)
 	}))
-	defer web.Close()
+	defer discovery.Close()
 	for _, mode := range []string{"closed", "blocked"} {
 		t.Run(mode, func(t *testing.T) {
-			r, w, err := os.Pipe()
+			reader, writer, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer r.Close()
-			if _, err := unix.FcntlInt(w.Fd(), unix.F_SETPIPE_SZ, smallPipe); err != nil {
+			defer reader.Close()
+			if _, err := unix.FcntlInt(writer.Fd(), unix.F_SETPIPE_SZ, pipeBytes); err != nil {
 				t.Fatal(err)
 			}
 			if mode == "closed" {
-				r.Close()
+				reader.Close()
 			}
 			addr := freeAddr(t)
-			cmd := program(t, fmt.Sprintf(config, addr, strings.TrimPrefix(web.URL, "http://")))
-			cmd.Stderr = w
+			cmd := newGatewayCommand(t, fmt.Sprintf(configTemplate, addr, strings.TrimPrefix(discovery.URL, "http://")))
+			cmd.Stderr = writer
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
-			w.Close()
+			writer.Close()
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
 			defer cmd.Process.Kill()
-			ping(t, addr)
-			for range 100 { // each is a line of the log, more than the pipe holds
+			waitForPong(t, addr)
+			for range 100 { // each causes a log line; together they are more than the pipe holds
 				cmd.Process.Signal(syscall.SIGHUP)
 				time.Sleep(5 * time.Millisecond)
 			}
-			ping(t, addr)
-			wantOrderlyEnd(t, cmd, ended)
+			waitForPong(t, addr)
+			expectCleanExit(t, cmd, ended)
 		})
 	}
 }
 
-func wantOrderlyEnd(t *testing.T, cmd *exec.Cmd, ended <-chan error) {
+// expectCleanExit sends SIGTERM and expects exit code 0.
+func expectCleanExit(t *testing.T, cmd *exec.Cmd, ended <-chan error) {
 	t.Helper()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Error(err)
@@ -100,9 +101,9 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the process ended with %v, want exit code 0", err)
 		}
-	case <-time.After(patience):
-		t.Error("does not end")
+	case <-time.After(waitTimeout):
+		t.Error("the process did not end in time after SIGTERM")
 	}
 }
--- a/cmd/sloepick/main.go
+++ b/cmd/sloepick/main.go
@@ -1,5 +1,5 @@
-// Command sloepick is an API gateway: it keeps customers' quotas together with its peers, chooses servers and
-// passes requests on to them over RESP2. Package decide makes its decisions; package gateway is its sockets.
+// Command sloepick is an API gateway. It enforces customers' quotas together with its peers, selects a card server for each
+// request, and forwards the request over RESP2. Package decide makes the decisions; package gateway does the network I/O.
 package main
 
 import (
@@ -20,10 +20,10 @@
 )
 
 const (
-	heapPart  = 0.6 // of the memory limit: the rest is for stacks, the runtime and what the kernel counts
-	gcPercent = 400 // the live heap is small, so memory is cheaper than collections
+	heapShare = 0.6 // Go heap as a share of the memory limit; the rest is for stacks, the runtime and kernel memory
+	gcPercent = 400 // above the default of 100: the live heap is small, so memory costs less than collections
 
-	flushWithin = 50 * time.Millisecond // for the last lines of the log
+	flushTimeout = 50 * time.Millisecond // for writing the last log lines at exit
 )
 
 func main() {
@@ -34,30 +34,30 @@
 }
 
 func run() error {
-	hup := make(chan os.Signal, 1) // from the first moment on: the default is to die of it
-	signal.Notify(hup, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // which the runtime else raises when a line of the log finds its reader gone
+	reloadSignals := make(chan os.Signal, 1) // registered first, because by default SIGHUP ends the process
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // else the runtime ends the process when a write to a closed stderr pipe fails
 	cfg, err := gateway.LoadConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(heapPart * float64(cfg.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryMB<<20)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	level, err := logging.ParseLevel(os.Getenv("GW_LOG"))
 	if err != nil {
 		return fmt.Errorf("GW_LOG: %w", err)
 	}
-	lines := logging.NewWriter(os.Stderr)
-	defer lines.Flush(flushWithin)
-	log := slog.New(slog.NewTextHandler(lines, &slog.HandlerOptions{Level: level})).With("gateway", cfg.Name)
+	logWriter := logging.NewWriter(os.Stderr)
+	defer logWriter.Flush(flushTimeout)
+	log := slog.New(slog.NewTextHandler(logWriter, &slog.HandlerOptions{Level: level})).With("gateway", cfg.Name)
 	log.Info("starting", "listen", cfg.Listen, "servers", len(cfg.Known.Servers))
-	moves := make(chan netip.AddrPort)
+	discoveryAddrs := make(chan netip.AddrPort)
 	load := func() (netip.AddrPort, error) { return gateway.LoadDiscovery(os.Getenv) }
-	go reload{retry: reloadRetry, within: reloadWithin, load: load, log: log}.run(hup, moves)
-	if err := gateway.Run(ctx, cfg, moves, log); err != nil {
+	go reloader{retryInterval: reloadRetryInterval, timeout: reloadTimeout, load: load, log: log}.run(reloadSignals, discoveryAddrs)
+	if err := gateway.Run(ctx, cfg, discoveryAddrs, log); err != nil {
 		return err
 	}
 	log.Info("stopped")
--- a/cmd/sloepick/main_test.go
+++ b/cmd/sloepick/main_test.go
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// TestMain lets the test's own binary stand for the program, so that a test can start and stop a real process.
+// TestMain runs main if SLOEPICK_TEST_MAIN is set. So the test binary also serves as the program, and tests can start and stop
+// real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("SLOEPICK_TEST_MAIN") != "" {
 		main()
@@ -25,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string, env ...string) *exec.Cmd {
+// newGatewayCommand returns a command that runs the gateway with the given configuration and additional environment variables.
+func newGatewayCommand(t *testing.T, config string, env ...string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -36,13 +38,14 @@
 	return cmd
 }
 
-// What can't be used is one clear line and a failure, not a stack or a gateway that serves nobody.
-func TestBadStart(t *testing.T) {
+// A missing or invalid configuration must end the program with one line on stderr and exit code 1. A stack trace, or a gateway
+// that runs but can't serve, would hide the cause.
+func TestUnusableConfigFailsWithOneLine(t *testing.T) {
 	for name, cmd := range map[string]*exec.Cmd{
-		"no config":  program(t, "", "GW_CONFIG="),
-		"no file":    program(t, "", "GW_CONFIG="+filepath.Join(t.TempDir(), "none")),
-		"empty file": program(t, ""),
-		"no listen":  program(t, `{"discovery":"127.0.0.1:1"}`, "GW_LISTEN="),
+		"no config":  newGatewayCommand(t, "", "GW_CONFIG="),
+		"no file":    newGatewayCommand(t, "", "GW_CONFIG="+filepath.Join(t.TempDir(), "none")),
+		"empty file": newGatewayCommand(t, ""),
+		"no listen":  newGatewayCommand(t, `{"discovery":"127.0.0.1:1"}`, "GW_LISTEN="),
 	} {
 		var stderr bytes.Buffer
 		cmd.Stderr = &stderr
@@ -51,32 +54,33 @@
 			t.Errorf("%s: ended with %v, want exit code 1", name, err)
 		}
 		if s := stderr.String(); !strings.HasPrefix(s, "sloepick: ") || strings.Count(s, "\n") != 1 {
-			t.Errorf("%s: said %q, want one line", name, s)
+			t.Errorf("%s: wrote %q to stderr, want one line", name, s)
 		}
 	}
 }
 
-const config = `{"name":"n0","listen":"%s","discovery":"%s","seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":128},
+// configTemplate is a valid configuration with placeholders for the listen address and the discovery address.
+const configTemplate = `{"name":"n0","listen":"%s","discovery":"%s","seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":128},
 "known":{},"settings":{"Instances":1,"Rank":0,"Limits":{"SendCap":1},"Safety":{},
 "Classes":[{"Name":"look","Effect":"safe","AimNs":1000000000}],"TiersOfService":[{"Name":"p"}]}}`
 
-// SIGTERM ends the program with exit code 0 and its connections in order.
-func TestSigterm(t *testing.T) {
+// After SIGTERM the gateway must close its client connections with EOF, not with a reset, and exit with code 0.
+func TestSigtermExitsCleanly(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.RawQuery != "" {
-			<-req.Context().Done() // no news
+			<-req.Context().Done() // a watch: there are no changes
 			return
 		}
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[]}`)
 	}))
-	defer web.Close()
-	cmd := program(t, fmt.Sprintf(config, addr, strings.TrimPrefix(web.URL, "http://")))
+	defer discovery.Close()
+	cmd := newGatewayCommand(t, fmt.Sprintf(configTemplate, addr, strings.TrimPrefix(discovery.URL, "http://")))
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -116,24 +120,24 @@
 	}
 }
 
-// SIGHUP moves a real process to where the file says discovery is, GW_DISCOVERY or not; a file that can't be used
-// is one log line and changes nothing. Without a handler the signal ends the process.
-func TestSighup(t *testing.T) {
+// After SIGHUP the process must call discovery at the address in the configuration file, even if GW_DISCOVERY is set. An
+// invalid file must cause one log line and change nothing. Without a handler SIGHUP would end the process.
+func TestSighupMovesDiscovery(t *testing.T) {
 	called := make(chan string, 64)
-	at := func(name string) string {
-		web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	newDiscovery := func(name string) string {
+		discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			if req.URL.RawQuery != "" {
-				<-req.Context().Done() // no news
+				<-req.Context().Done() // a watch: there are no changes
 				return
 			}
 			called <- name
 			fmt.Fprint(w, `{"version":1,"full":true,"servers":[]}`)
 		}))
-		t.Cleanup(func() { web.CloseClientConnections(); web.Close() })
-		return strings.TrimPrefix(web.URL, "http://")
+		t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
+		return strings.TrimPrefix(discovery.URL, "http://")
 	}
-	first, second := at("first"), at("second")
-	cmd := program(t, fmt.Sprintf(config, "127.0.0.1:0", first), "GW_DISCOVERY="+first)
+	first, second := newDiscovery("first"), newDiscovery("second")
+	cmd := newGatewayCommand(t, fmt.Sprintf(configTemplate, "127.0.0.1:0", first), "GW_DISCOVERY="+first)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -143,7 +147,7 @@
 	}
 	defer cmd.Process.Kill()
 	if got := <-called; got != "first" {
-		t.Fatalf("%s was asked", got)
+		t.Fatalf("the %s discovery was called, want the first", got)
 	}
 	reload := func(text string) {
 		path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-2], "GW_CONFIG=")
@@ -161,8 +165,8 @@
 	if log.Err() != nil {
 		t.Fatal(log.Err())
 	}
-	reload(fmt.Sprintf(config, "127.0.0.1:0", second))
+	reload(fmt.Sprintf(configTemplate, "127.0.0.1:0", second))
 	if got := <-called; got != "second" {
-		t.Errorf("%s was asked", got)
+		t.Errorf("the %s discovery was called, want the second", got)
 	}
 }
--- a/cmd/sloepick/reload.go
+++ b/cmd/sloepick/reload.go
@@ -7,53 +7,55 @@
 	"time"
 )
 
-// A configuration that can't be used as the signal comes may be half written, or its disk may fail for a moment. The move
-// that it tells of counts 4 s after the signal, so it is tried again soon, and for longer than that.
+// When the signal arrives, the configuration file may be half written, or reading it may fail transiently. Loading is then
+// retried. The gateway has to use the new discovery address 4 s after the signal, so the interval is short and the timeout is
+// longer than 4 s.
 const (
-	reloadRetry  = 50 * time.Millisecond
-	reloadWithin = 15 * time.Second
+	reloadRetryInterval = 50 * time.Millisecond
+	reloadTimeout       = 15 * time.Second
 )
 
-// reload reads the configuration again at each signal and passes on where discovery is now. A file that can't be used
-// changes nothing: a slip in it must not stop a gateway that serves.
-type reload struct {
-	retry  time.Duration // between two tries
-	within time.Duration // of a signal the last try is made
-	load   func() (netip.AddrPort, error)
-	log    *slog.Logger
+// reloader reads the configuration again at each signal and sends the new address of discovery. An invalid file changes
+// nothing, because a mistake in it must not stop a running gateway.
+type reloader struct {
+	retryInterval time.Duration // between two attempts to load
+	timeout       time.Duration // after the last signal, when loading is given up
+	load          func() (netip.AddrPort, error)
+	log           *slog.Logger
 }
 
-// run serves signals until their channel is closed.
-func (r reload) run(signals <-chan os.Signal, moves chan<- netip.AddrPort) {
+// run handles signals until their channel is closed.
+func (r reloader) run(signals <-chan os.Signal, addrs chan<- netip.AddrPort) {
 	for range signals {
-		addr, err := r.loadPersistently(signals)
+		addr, err := r.loadWithRetries(signals)
 		if err != nil {
-			r.log.Error("reload given up, the former configuration stays", "err", err)
+			r.log.Error("reload given up; keeping the previous configuration", "err", err)
 			continue
 		}
-		r.log.Info("reloaded", "discovery", addr)
-		moves <- addr
+		r.log.Info("configuration reloaded", "discovery", addr)
+		addrs <- addr
 	}
 }
 
-// loadPersistently tries until the configuration can be used or the time is over. A further signal begins the time anew.
-func (r reload) loadPersistently(signals <-chan os.Signal) (netip.AddrPort, error) {
-	begun := time.Now()
-	for tries := 0; ; tries++ {
+// loadWithRetries loads the configuration until that succeeds or the timeout has passed. A further signal restarts the
+// timeout.
+func (r reloader) loadWithRetries(signals <-chan os.Signal) (netip.AddrPort, error) {
+	started := time.Now()
+	for attempt := 0; ; attempt++ {
 		addr, err := r.load()
-		if err == nil || time.Since(begun) >= r.within {
+		if err == nil || time.Since(started) >= r.timeout {
 			return addr, err
 		}
-		if tries == 0 {
-			r.log.Error("reload failed, the former configuration stays while it is tried again", "err", err)
+		if attempt == 0 {
+			r.log.Error("reload failed; keeping the previous configuration and retrying", "err", err)
 		}
 		select {
 		case _, open := <-signals:
 			if !open {
 				return addr, err
 			}
-			begun = time.Now()
-		case <-time.After(r.retry):
+			started = time.Now()
+		case <-time.After(r.retryInterval):
 		}
 	}
 }
--- a/cmd/sloepick/reload_test.go
+++ b/cmd/sloepick/reload_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// A configuration that can't be used in the moment of the signal is tried again, and a signal that comes meanwhile is served
-// by the same tries.
-func TestReloadIsTriedAgain(t *testing.T) {
+// Loading the configuration fails three times after the signal. It is retried until it succeeds, and the new address is sent
+// once. Without retries a half-written file would cancel the reload.
+func TestFailedReloadIsRetried(t *testing.T) {
 	want := netip.MustParseAddrPort("127.0.0.1:9")
-	tries := 0
-	signals, moves := make(chan os.Signal, 1), make(chan netip.AddrPort)
-	r := reload{retry: time.Millisecond, within: time.Minute, log: slog.New(slog.DiscardHandler), load: func() (netip.AddrPort, error) {
-		if tries++; tries < 4 {
+	attempts := 0
+	signals, addrs := make(chan os.Signal, 1), make(chan netip.AddrPort)
+	r := reloader{retryInterval: time.Millisecond, timeout: time.Minute, log: slog.New(slog.DiscardHandler), load: func() (netip.AddrPort, error) {
+		if attempts++; attempts < 4 {
 			return netip.AddrPort{}, syscall.EIO
 		}
 		return want, nil
@@ -25,32 +25,32 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.run(signals, moves)
+		r.run(signals, addrs)
 	}()
 	signals <- syscall.SIGHUP
-	if got := <-moves; got != want {
-		t.Errorf("moved to %v", got)
+	if got := <-addrs; got != want {
+		t.Errorf("got address %v", got)
 	}
 	close(signals)
 	<-done
-	if tries != 4 {
-		t.Errorf("%d tries", tries)
+	if attempts != 4 {
+		t.Errorf("%d attempts to load", attempts)
 	}
 }
 
-// One that stays useless is given up, and the next signal begins anew.
-func TestReloadIsGivenUp(t *testing.T) {
-	tries := 0
+// With a timeout of 0 a failing reload is given up after one attempt, and the next signal starts another reload.
+func TestReloadRetriesAreBounded(t *testing.T) {
+	attempts := 0
 	signals := make(chan os.Signal, 2)
-	r := reload{retry: time.Millisecond, log: slog.New(slog.DiscardHandler), load: func() (netip.AddrPort, error) {
-		tries++
+	r := reloader{retryInterval: time.Millisecond, log: slog.New(slog.DiscardHandler), load: func() (netip.AddrPort, error) {
+		attempts++
 		return netip.AddrPort{}, errors.New("no configuration")
 	}}
 	signals <- syscall.SIGHUP
 	signals <- syscall.SIGHUP
 	close(signals)
 	r.run(signals, nil)
-	if tries != 2 {
-		t.Errorf("%d tries", tries)
+	if attempts != 2 {
+		t.Errorf("%d attempts to load", attempts)
 	}
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,6 @@
-// Command wirehost hosts gateways of package decide on the wire of the bench: batches of events on standard
-// input, one reply a batch on standard output. It translates and decides nothing.
+// Command wirehost runs gateways of package decide on a simulator. It reads batches of events from standard input, one
+// JSON object a line, and writes one reply for each batch to standard output. It only translates between the simulator's
+// messages and the types of package decide; it makes no decisions.
 package main
 
 import (
@@ -17,7 +18,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve reads batches from in and writes a reply to each to out, until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
--- a/cmd/wirehost/wire.go
+++ b/cmd/wirehost/wire.go
@@ -9,13 +9,15 @@
 	"winghatch/internal/settings"
 )
 
-// host keeps the gateways of this process. They share nothing.
+// host holds the gateways of this process by their number. They share no state.
 type host struct{ gateways map[int]*instance }
 
-type instance struct{ gw *decide.Gateway }
+// instance is one gateway. Its gateway is nil if the settings could not be used.
+type instance struct{ gateway *decide.Gateway }
 
 func newHost() *host { return &host{gateways: map[int]*instance{}} }
 
+// batch is one line of input: a time, and the events of some gateways at that time.
 type batch struct {
 	NowNs    int64       `json:"NowNs"`
 	Batch    json.Number `json:"batch"`
@@ -25,21 +27,23 @@
 	} `json:"gateways"`
 }
 
+// replyGateway is the output of one gateway in a reply.
 type replyGateway struct {
 	I      int   `json:"I"`
 	Output []any `json:"output"`
 }
 
+// reply is one line of output. It names only gateways that have output.
 type reply struct {
 	Batch    json.Number    `json:"batch"`
 	Gateways []replyGateway `json:"gateways"`
 }
 
-// batch answers one line.
+// batch handles the batch in one line of input and returns the reply, without the final newline.
 func (h *host) batch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
-		return nil, fmt.Errorf("batch %q: %w", b.Batch, settings.FieldOf(err))
+		return nil, fmt.Errorf("batch %q: %w", b.Batch, settings.NameField(err))
 	}
 	if b.Batch == "" {
 		return nil, fmt.Errorf("batch %q: field \"batch\" is missing", b.Batch)
@@ -61,75 +65,79 @@
 	return json.Marshal(r)
 }
 
-// event hands one event to its gateway and returns the actions as wire messages.
+// event hands one event to its gateway and returns the actions as messages of the simulator's protocol. Events of unknown
+// types, and events for gateways that are unknown or could not be started, are ignored.
 func (h *host) event(i int, now time.Duration, raw json.RawMessage) ([]any, error) {
 	var head struct {
 		M string `json:"m"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
-		return nil, fmt.Errorf("field \"happened\": %w", settings.FieldOf(err))
+		return nil, fmt.Errorf("field \"happened\": %w", settings.NameField(err))
 	}
 	switch head.M {
 	case "NewInstance":
-		return h.start(i, raw)
+		return h.newInstance(i, raw)
 	case "Destroy":
 		delete(h.gateways, i)
 		return nil, nil
 	}
 	ev, err := parseEvent(head.M, raw)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", head.M, settings.FieldOf(err))
+		return nil, fmt.Errorf("%s: %w", head.M, settings.NameField(err))
 	}
 	g := h.gateways[i]
-	if ev == nil || g == nil || g.gw == nil {
+	if ev == nil || g == nil || g.gateway == nil {
 		return nil, nil
 	}
 	return g.handle(now, ev), nil
 }
 
-// handle turns a panic of the module into the wire's word for it.
+// handle hands an event to the gateway. A panic in package decide becomes a Bug message, so that the process goes on.
 func (g *instance) handle(now time.Duration, ev decide.Event) (out []any) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = []any{bug(fmt.Sprint(p))}
+			out = []any{bugReport(fmt.Sprint(p))}
 		}
 	}()
-	for _, a := range g.gw.Handle(now, ev) {
+	for _, a := range g.gateway.Handle(now, ev) {
 		out = append(out, wireAction(a))
 	}
 	return out
 }
 
-func bug(words string) any {
+// bugReport returns the message that reports a fault of a gateway to the simulator.
+func bugReport(text string) any {
 	return struct {
 		M     string `json:"m"`
 		Words string
-	}{"Bug", words}
+	}{"Bug", text}
 }
 
-func (h *host) start(i int, raw json.RawMessage) ([]any, error) {
+// newInstance starts a gateway. Settings that can't be used become a Bug message.
+func (h *host) newInstance(i int, raw json.RawMessage) ([]any, error) {
 	var e struct {
 		RandomSeed  uint64
 		ProfileData json.RawMessage
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return nil, fmt.Errorf("NewInstance: %w", settings.FieldOf(err))
+		return nil, fmt.Errorf("NewInstance: %w", settings.NameField(err))
 	}
 	h.gateways[i] = &instance{}
-	set, err := settings.Parse(e.ProfileData)
+	parsed, err := settings.Parse(e.ProfileData)
 	if err != nil {
-		return []any{bug(fmt.Sprintf("ProfileData: %v", err))}, nil
+		return []any{bugReport(fmt.Sprintf("ProfileData: %v", err))}, nil
 	}
-	gw, err := decide.New(set.Decide, int64(e.RandomSeed))
+	gw, err := decide.New(parsed.Decide, int64(e.RandomSeed))
 	if err != nil {
-		return []any{bug(err.Error())}, nil
+		return []any{bugReport(err.Error())}, nil
 	}
-	h.gateways[i].gw = gw
+	h.gateways[i].gateway = gw
 	return nil, nil
 }
 
-// stats reads a load report: an object, or pairs of name and value.
-func stats(raw map[string]float64) decide.Report {
+// parseReport converts a server's load report. It translates the names of figures that the simulator names differently
+// and keeps all others.
+func parseReport(raw map[string]float64) decide.Report {
 	if len(raw) == 0 {
 		return nil
 	}
@@ -140,6 +148,7 @@
 	return r
 }
 
+// reportName returns the name in package decide of a figure in a load report.
 func reportName(wire string) string {
 	switch wire {
 	case "outstanding":
@@ -156,7 +165,7 @@
 	return wire
 }
 
-// parseEvent returns nil for a message that it does not know.
+// parseEvent decodes an event of type m. It returns nil if the type is unknown.
 func parseEvent(m string, raw json.RawMessage) (decide.Event, error) {
 	switch m {
 	case "PeersKnown":
@@ -171,7 +180,7 @@
 		}
 		err := json.Unmarshal(raw, &e)
 		return decide.AnswerStarted{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
-			Took: time.Duration(e.DurationNs)}, err
+			Elapsed: time.Duration(e.DurationNs)}, err
 	case "Returned":
 		return parseEnded(raw)
 	case "ClientLeft":
@@ -191,7 +200,7 @@
 		}
 		err := json.Unmarshal(raw, &e)
 		return decide.ProbeEnded{Server: e.Server, Outcome: decide.Outcome(e.StateCode),
-			Took: time.Duration(e.DurationNs), Report: stats(e.ServerStats)}, err
+			Elapsed: time.Duration(e.DurationNs), Report: parseReport(e.ServerStats)}, err
 	case "Datagram":
 		var e struct {
 			Src  int
@@ -208,7 +217,7 @@
 		}
 		err := json.Unmarshal(raw, &e)
 		return decide.Counted{Name: e.Counter, Outcome: decide.Outcome(e.StateCode), Total: e.NowAt,
-			Took: time.Duration(e.DurationNs)}, err
+			Elapsed: time.Duration(e.DurationNs)}, err
 	}
 	return nil, nil
 }
@@ -234,7 +243,7 @@
 		return nil, fmt.Errorf("field \"Kind\": unknown %q", e.Kind)
 	}
 	u := decide.FleetUpdate{Kind: kind, Version: e.Stamp}
-	states := map[string]decide.State{"IN": decide.Serving, "LAME": decide.Draining, "OUT": decide.Gone}
+	states := map[string]decide.State{"IN": decide.Serving, "LAME": decide.Draining, "OUT": decide.Removed}
 	for _, n := range e.NodesList {
 		state, ok := states[n.StageState]
 		if !ok {
@@ -257,7 +266,7 @@
 	err := json.Unmarshal(raw, &e)
 	return decide.Request{ID: e.Xid, Class: e.Type, Plan: e.Tier, Customer: e.Account, Units: e.SizeUnits,
 		Deadline: time.Duration(e.DeadlineNs), First: e.FromNo, Spread: e.EntryPoints,
-		Again: e.AgainByClient, Write: e.Mutates}, err
+		ClientRetry: e.AgainByClient, Write: e.Mutates}, err
 }
 
 func parseEnded(raw json.RawMessage) (decide.Event, error) {
@@ -273,11 +282,11 @@
 	}
 	err := json.Unmarshal(raw, &e)
 	return decide.AttemptEnded{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
-		Outcome: decide.Outcome(e.StateCode), Took: time.Duration(e.DurationNs), Done: e.Ended,
-		Metered: e.Metered, TrueUnits: e.Actual, Report: stats(e.ServerStats)}, err
+		Outcome: decide.Outcome(e.StateCode), Elapsed: time.Duration(e.DurationNs), RequestDone: e.Ended,
+		Metered: e.Metered, ActualUnits: e.Actual, Report: parseReport(e.ServerStats)}, err
 }
 
-// wireAction writes an action in the wire's words.
+// wireAction returns an action as a message of the simulator's protocol.
 func wireAction(a decide.Action) any {
 	type msg = map[string]any
 	switch a := a.(type) {
@@ -299,12 +308,12 @@
 		return msg{"m": "Listen", "Want": a.On}
 	case decide.FetchList:
 		return msg{"m": "Snapshot"}
-	case decide.Tell:
+	case decide.SendToPeer:
 		return msg{"m": "Tell", "To": a.To, "Blob": a.Text}
 	case decide.Count:
 		return msg{"m": "Enter", "Counter": a.Name, "Step": a.Add, "TtlNs": int64(a.TTL)}
 	case decide.Log:
 		return msg{"m": "Log", "Words": a.Text}
 	}
-	return bug(fmt.Sprintf("unknown action %T", a))
+	return bugReport(fmt.Sprintf("unknown action %T", a))
 }
--- a/decide/api.go
+++ b/decide/api.go
@@ -1,12 +1,12 @@
-// Package decide makes the decisions of a quota-keeping API gateway: whom to let in, which server to
-// send a request to, when to try again and when to stop.
+// Package decide makes the decisions of an API gateway that enforces quotas: which requests to admit, which server to
+// send a request to, when to retry and when to give up.
 //
-// A [Gateway] is a plain state machine. The caller owns the clock, the network and the queue of events; it
-// calls [Gateway.Handle] once for each [Event] and carries out the returned actions in order. The package
-// does no I/O, reads no clock, starts no goroutine and keeps no state outside the Gateway: the same
-// configuration, seed and events always give the same actions. A Gateway is not safe for concurrent use.
+// A [Gateway] is a plain state machine. The caller owns the clock, the network and the event queue. It calls
+// [Gateway.Handle] once for each [Event] and carries out the returned actions in order. The package does no I/O,
+// reads no clock, starts no goroutine and keeps no state outside the Gateway: the same configuration, seed and events
+// always give the same actions. A Gateway is not safe for concurrent use.
 //
-// All times are a [time.Duration] since an origin of the caller's choice; they must never run backwards.
+// All times are a [time.Duration] since an origin that the caller chooses. They must never run backwards.
 package decide
 
 import (
@@ -18,14 +18,14 @@
 // Effect says whether a request of a class may run more than once.
 type Effect int
 
-// The effects a class may have.
+// The effects that a class may have.
 const (
 	Unsafe Effect = iota // must never run twice
-	Keyed                // servers of one Group drop a repeat within the class's Window
+	Keyed                // servers of one Group drop a repeat within the Window of the class
 	Safe                 // may run any number of times
 )
 
-// String is the effect's name in the settings.
+// String returns the name of the effect in the settings.
 func (e Effect) String() string {
 	switch e {
 	case Safe:
@@ -36,7 +36,7 @@
 	return "unsafe"
 }
 
-// Group says which servers drop each other's repeats of a keyed request.
+// Group says which servers recognise and drop each other's repeats of a keyed request.
 type Group int
 
 // The groups of servers.
@@ -51,12 +51,12 @@
 	Name       string
 	Effect     Effect
 	Group      Group         // for Keyed
-	Window     time.Duration // for Keyed: how long a repeat is dropped
-	Aim        time.Duration // an answer within this earns the full worth
-	AimStretch float64       // the aim grows by this multiple of a request's own work
-	Deadline   time.Duration // what a client waits for over all of its tries
+	Window     time.Duration // for Keyed: how long servers drop repeats
+	Aim        time.Duration // target latency: an answer within this time earns the full Worth
+	AimStretch float64       // the target latency grows by this multiple of the work of the request itself
+	Deadline   time.Duration // time for which a client waits, over all of its tries
 	Worth      float64
-	LateWorth  float64 // part of the worth that an answer past the aim earns
+	LateWorth  float64 // fraction of Worth that an answer after the target latency earns
 	Stream     bool
 }
 
@@ -71,68 +71,69 @@
 	return a.Cell == b.Cell
 }
 
-// Plan describes the quota of each customer on it, over all gateways together.
+// Plan describes the quota that each customer on the plan has, over all gateways together.
 type Plan struct {
 	Name         string
-	Rate         float64 // units a second; 0 means no such quota
+	Rate         float64 // units a second; 0: no such quota
 	Burst        float64 // units at once
-	CeilingRate  float64 // hard ceiling, units a second; 0 means none
+	CeilingRate  float64 // hard ceiling, in units a second; 0: none
 	CeilingBurst float64
 	CeilingSlack float64
-	MaxOpen      int // attempts out at once; 0 means no such quota
+	MaxOpen      int // attempts in flight at once; 0: no such quota
 	Price        float64
-	OverWorth    float64 // part of its worth that a request earns when sent on beyond the quota
-	OverCost     float64 // part of its worth that such a request costs
+	OverWorth    float64 // fraction of its worth that a request earns if it is sent beyond the quota
+	OverCost     float64 // fraction of its worth that such a request costs
 }
 
-// Limits tells what a gateway is allowed to do.
+// Limits says what a gateway may do.
 type Limits struct {
 	MaxAttempts    int
-	Parallel       bool // two attempts of a request may be out at once
+	Parallel       bool // two attempts of a request may be in flight at once
 	Cancel         bool
 	Peers          bool
 	Probes         bool
 	RetryAfter     bool
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
-	ConnKept       time.Duration // a connection to a server that nothing uses is kept for so long
+	ConnKept       time.Duration // how long an idle connection to a server is kept
 }
 
-// Safety holds the figures of the rules.
+// Safety holds the parameters of the safety rules.
 type Safety struct {
 	AnswerSlack  time.Duration
 	DrainGrace   time.Duration
-	ColdFrom     float64       // part of its capacity that a started server has at least
-	ColdFor      time.Duration // it is warm no later than this
+	ColdFrom     float64       // fraction of its capacity that a server has at least when it has just started
+	ColdFor      time.Duration // time after its start by which a server is warm
 	FallMultiple float64       // work beyond this multiple of its present capacity ...
-	FallWindow   time.Duration // ... for this long makes it fall over
-	AskWithin    time.Duration // with Subscribe: how long an unasked list stays good
+	FallWindow   time.Duration // ... for this long makes a server fall over
+	AskWithin    time.Duration // with Subscribe: how long a list stays valid without being fetched
 }
 
-// Prices are points taken off the result, each for one unit of what it names.
+// Prices are the points deducted from the result for each unit of what the fields name.
 type Prices struct {
 	CrossZone, Waste, Probe, Peer, LateFail, Counter, Handshake float64
 }
 
-// Config is all that a gateway is told when it starts.
+// Config is the configuration with which a gateway starts.
 type Config struct {
-	Rank, Gateways int // this gateway's number, from 0, and how many there are
+	Rank, Gateways int // number of this gateway, from 0, and number of gateways
 	Zone           string
 	Classes        []Class
 	Plans          []Plan
-	SettledLater   bool // units told with a request are a guess; the answer tells the true ones
+	SettledLater   bool // the units of a request are an estimate; the answer reports the actual ones
 	MaxUnits       float64
 	MeterPeriod    time.Duration // 0: no meter
-	PeerIntake     float64       // messages a second that a gateway takes in
+	PeerIntake     float64       // message rate limit: messages from peers a second that a gateway can process
 	Counter        bool          // a shared counter may be called
 	CounterTimeout time.Duration
 	Limits         Limits
 	Safety         Safety
 	Prices         Prices
-	ReportsOnProbe bool // load reports come with probe results only
-	Subscribe      bool // list changes come only when asked for
+	ReportsOnProbe bool // load reports come only with the results of probes
+	Subscribe      bool // changes of the list come only if subscribed to
 }
 
+// finite returns an error unless v is a finite number of 0 or more.
 func finite(field string, v float64) error {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return fmt.Errorf("decide: %s is %v, want a number of 0 or more", field, v)
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// Validate reports the first setting that a gateway can't work with.
+// Validate returns an error for the first setting that a gateway cannot work with.
 func (c *Config) Validate() error {
 	if c.Gateways < 1 {
 		return fmt.Errorf("decide: Gateways is %d, want 1 or more", c.Gateways)
@@ -179,19 +180,19 @@
 	return nil
 }
 
-func (k *Class) validate(at string) error {
+func (k *Class) validate(prefix string) error {
 	if k.Name == "" {
-		return fmt.Errorf("decide: %s.Name is empty", at)
+		return fmt.Errorf("decide: %s.Name is empty", prefix)
 	}
 	if k.Aim <= 0 {
-		return fmt.Errorf("decide: %s.Aim is %v, want more than 0", at, k.Aim)
+		return fmt.Errorf("decide: %s.Aim is %v, want more than 0", prefix, k.Aim)
 	}
-	return finite(at+".Worth", k.Worth)
+	return finite(prefix+".Worth", k.Worth)
 }
 
-func (p *Plan) validate(at string) error {
+func (p *Plan) validate(prefix string) error {
 	if p.Name == "" {
-		return fmt.Errorf("decide: %s.Name is empty", at)
+		return fmt.Errorf("decide: %s.Name is empty", prefix)
 	}
 	for _, f := range []struct {
 		name string
@@ -199,17 +200,18 @@
 	}{{"Rate", p.Rate}, {"Burst", p.Burst}, {"CeilingRate", p.CeilingRate},
 		{"CeilingBurst", p.CeilingBurst}, {"CeilingSlack", p.CeilingSlack}, {"MaxOpen", float64(p.MaxOpen)},
 		{"Price", p.Price}, {"OverWorth", p.OverWorth}, {"OverCost", p.OverCost}} {
-		if err := finite(at+"."+f.name, f.v); err != nil {
+		if err := finite(prefix+"."+f.name, f.v); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Outcome tells how an attempt, a probe or a counter call ended.
+// Outcome says how an attempt, a probe or a call of the shared counter ended.
 type Outcome int
 
-// The outcomes. Full, NoConnection and Moot prove that the attempt never ran.
+// The outcomes. Full (the server's queue is full), NoConnection and NotSent (nothing was written) prove that the
+// attempt never ran.
 const (
 	OK Outcome = 1 + iota
 	Error
@@ -218,13 +220,13 @@
 	NoConnection
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) NeverRan() bool { return o == Full || o == NoConnection || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Full || o == NoConnection || o == NotSent }
 
-// String is the outcome's name in metrics and logs.
+// String returns the name of the outcome in metrics and logs.
 func (o Outcome) String() string {
 	names := []string{"none", "ok", "error", "full", "timed_out", "no_connection", "reset", "cancelled", "moot"}
 	if o < 0 || int(o) >= len(names) {
@@ -233,101 +235,100 @@
 	return names[o]
 }
 
-// State is what the list of servers says of one of them.
+// State is the state of a server according to the list of servers.
 type State int
 
 // The states of a server.
 const (
 	Serving State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Server is an entry of the list of servers.
 type Server struct {
 	ID      string
-	Address string // where it listens; it may be left out, always
+	Address string // where it listens; may always be omitted
 	Zone    string
 	Cell    int
 	Kind    string
 	State   State
-	Started time.Duration // by its machine's wall clock, which may be off; 0: long ago
+	Started time.Duration // by the wall clock of its machine, which may be wrong; 0: long ago
 	Weight  float64
 }
 
-// Report is a server's own account of its load, by name of the figure (queue, util, qps, latency_ms,
-// inflight, errors_per_s).
+// Report is a load report of a server: values by name (queue, util, qps, latency_ms, inflight, errors_per_s).
 type Report map[string]float64
 
-// Event is something that a gateway is told.
+// Event is an input of a gateway.
 type Event interface{ event() }
 
-// FleetKind tells how a FleetUpdate is to be read.
+// FleetKind says how to interpret a FleetUpdate.
 type FleetKind int
 
 // The kinds of update.
 const (
 	FleetDelta  FleetKind = iota // changed entries only
 	FleetFull                    // the whole list
-	FleetStale                   // the whole list as last held, maybe long out of date
-	FleetFailed                  // asking failed; the former list stays
+	FleetStale                   // the whole list as last known, which may be long out of date
+	FleetFailed                  // fetching failed; the previous list stays valid
 )
 
 type (
-	// FleetUpdate brings news of the list of servers.
+	// FleetUpdate reports the list of servers or a change of it.
 	FleetUpdate struct {
 		Kind    FleetKind
 		Version uint64
 		Servers []Server
 	}
-	// Request is a client's request; it must get one final answer before Deadline.
+	// Request is a request of a client. It must get one final answer before Deadline.
 	Request struct {
 		ID, Class, Plan, Customer string
 		Units                     float64
 		Deadline                  time.Duration
-		First, Spread             int // the customer's gateways: number of the first, and how many
-		Again                     bool
-		Write                     bool
+		First, Spread             int  // gateways of the customer: number of the first, and how many
+		ClientRetry               bool // the client has sent the request before
+		Write                     bool // the request changes data
 	}
-	// AnswerStarted says that a streamed answer has begun.
+	// AnswerStarted reports that a streamed answer has begun.
 	AnswerStarted struct {
 		ID, Server string
 		Attempt    int
-		Took       time.Duration
+		Elapsed    time.Duration
 	}
-	// AttemptEnded tells how an attempt ended. Done: the request is finished.
+	// AttemptEnded reports how an attempt ended.
 	AttemptEnded struct {
-		ID, Server string
-		Attempt    int
-		Outcome    Outcome
-		Took       time.Duration
-		Done       bool
-		Metered    int     // 1 + the customer's use in percent of its rate; 0: not told
-		TrueUnits  float64 // 0: not told
-		Report     Report
+		ID, Server  string
+		Attempt     int
+		Outcome     Outcome
+		Elapsed     time.Duration
+		RequestDone bool    // the request is finished
+		Metered     int     // 1 + the use of the customer in percent of its rate; 0: not reported
+		ActualUnits float64 // 0: not reported
+		Report      Report
 	}
-	// ClientGone says that the client left; no answer is owed.
+	// ClientGone reports that the client has left. No answer is owed.
 	ClientGone struct{ ID string }
-	// TimerFired is the answer to SetTimer.
+	// TimerFired is the response to SetTimer.
 	TimerFired struct{ Token uint64 }
-	// ProbeEnded is the answer to Probe.
+	// ProbeEnded is the response to Probe.
 	ProbeEnded struct {
 		Server  string
 		Outcome Outcome
-		Took    time.Duration
+		Elapsed time.Duration
 		Report  Report
 	}
-	// PeerMessage is what another gateway told.
+	// PeerMessage is a message from another gateway.
 	PeerMessage struct {
 		From int
 		Text string
 	}
-	// Counted is the answer to Count.
+	// Counted is the response to Count.
 	Counted struct {
 		Name    uint64
 		Outcome Outcome
 		Total   float64
-		Took    time.Duration
+		Elapsed time.Duration
 	}
 )
 
@@ -347,26 +348,26 @@
 // The reasons.
 const (
 	ReasonUnknown   Reason = "unknown_class_or_plan"
-	ReasonQuota     Reason = "quota"     // this gateway's bucket, cap or slice of the ceiling has no room
-	ReasonOwner     Reason = "owner"     // the quota's owner refused it
-	ReasonThrottled Reason = "throttled" // the owner refused the customer a moment ago
-	ReasonShed      Reason = "shed"      // the servers are pressed, and it is worth least
-	ReasonNoServer  Reason = "no_server" // none may be used
-	ReasonNoTime    Reason = "no_time"   // no answer could come in time
-	ReasonAttempts  Reason = "attempts"  // all attempts failed, and no further one may or can be made
+	ReasonQuota     Reason = "quota"     // this gateway's bucket, open cap or share of the ceiling has no room
+	ReasonOwner     Reason = "owner"     // the owner of the customer refused it
+	ReasonThrottled Reason = "throttled" // the owner refused the customer shortly before
+	ReasonShed      Reason = "shed"      // the servers are overloaded, and the request is worth too little
+	ReasonNoServer  Reason = "no_server" // no server may be used
+	ReasonNoTime    Reason = "no_time"   // no answer can be expected in time
+	ReasonAttempts  Reason = "attempts"  // all attempts failed, and no further one is allowed or possible
 )
 
-// Action is something that a gateway wants done.
+// Action is an output of a gateway, for the caller to carry out.
 type Action interface{ action() }
 
 type (
 	// Send starts an attempt. A request's attempts are numbered from 0.
 	Send struct {
-		ID, Server string
-		Timeout    time.Duration // 0: until the client gives up
-		Before     time.Duration // nothing of it may be written after this time; 0: no such limit
+		ID, Server  string
+		Timeout     time.Duration // 0: until the client leaves
+		WriteBefore time.Duration // nothing of the attempt may be written after this time; 0: no such limit
 	}
-	// Cancel stops waiting for an attempt.
+	// Cancel cancels an attempt.
 	Cancel struct {
 		ID      string
 		Attempt int
@@ -382,43 +383,43 @@
 		ID     string
 		Reason Reason
 	}
-	// SetTimer asks for a TimerFired.
+	// SetTimer requests a TimerFired event at a given time.
 	SetTimer struct {
 		At    time.Duration
 		Token uint64
 	}
-	// Probe asks a server for its load.
+	// Probe requests a load report from a server.
 	Probe struct{ Server string }
-	// CloseIdle drops the idle connections to a server.
+	// CloseIdle closes the idle connections to a server.
 	CloseIdle struct{ Server string }
-	// Subscribe asks for changes of the list of servers, or no more of them.
+	// Subscribe starts or stops notifications of changes of the list of servers.
 	Subscribe struct{ On bool }
-	// FetchList asks for the whole list once.
+	// FetchList requests the whole list once.
 	FetchList struct{}
-	// Tell sends a message to one peer.
-	Tell struct {
+	// SendToPeer sends a message to one peer.
+	SendToPeer struct {
 		To   int
 		Text string
 	}
-	// Count adds to a named number of the shared counter.
+	// Count adds to a named value of the shared counter.
 	Count struct {
 		Name uint64
 		Add  float64
 		TTL  time.Duration
 	}
-	// Log adds a line to the operator's log.
+	// Log writes a line to the log.
 	Log struct{ Text string }
 )
 
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (SetTimer) action()  {}
-func (Probe) action()     {}
-func (CloseIdle) action() {}
-func (Subscribe) action() {}
-func (FetchList) action() {}
-func (Tell) action()      {}
-func (Count) action()     {}
-func (Log) action()       {}
+func (Send) action()       {}
+func (Cancel) action()     {}
+func (Refuse) action()     {}
+func (Fail) action()       {}
+func (SetTimer) action()   {}
+func (Probe) action()      {}
+func (CloseIdle) action()  {}
+func (Subscribe) action()  {}
+func (FetchList) action()  {}
+func (SendToPeer) action() {}
+func (Count) action()      {}
+func (Log) action()        {}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,6 +1,13 @@
-// This file holds every decision and every tuned constant; decide/api.go the interface, state.go what a
-// gateway keeps, codec.go the digits of messages. Read it in this order: constants; how events are taken;
-// quota; sharing; homes; choice and health of servers; attempts and deadlines; guards of the rules.
+// This file holds all decisions and all tuning constants of the package. api.go defines the interface,
+// state.go the state of a gateway and codec.go the encoding of messages between gateways. The sections follow
+// in this order: constants; events; quota; exchange between peers; quota owners; choice and health of
+// servers; attempts and deadlines; safety rules.
+//
+// A customer's quota holds over all gateways together. They keep it in one of two modes. In broadcast mode
+// every gateway sends its totals to every other, and each gateway admits requests by its own bucket, which
+// has a share of the rate and the burst. In owner mode, which is used where the message rate limit is too low
+// for that, one gateway, the customer's owner, keeps the bucket for all gateways, and the others query it for
+// each request.
 
 package decide
 
@@ -13,354 +20,467 @@
 
 // Quota.
 const (
-	partMemory  = 2 * time.Second  // memory of asked units: long against gaps, short against shifts
-	partPrior   = 0.05             // seconds of the even slice mixed in: steadies rare askers
-	startLevel  = 0.5              // of the mark: level after a start, as the past is unknown
-	peerStale   = 1 * time.Second  // a peer not heard for this long no longer settles buckets
-	meterStale  = 3 * time.Second  // the meter is late; older totals say nothing
-	meterGrow   = 1.02             // of the factor on the part, a report ...
-	meterShrink = 0.95             // ... while the metered total exceeds the rate
-	forgetAfter = 10 * time.Second // a customer that is as new is forgotten so long after its last use ...
-	toldFor     = 5 * time.Second  // ... well after peers have ceased to count on from the totals told of it
-	sweepLeast  = 4                // customers are looked at, at each beat ...
-	sweepBeats  = 32               // ... and that part of all
-	slackPart   = 0.9              // of the ceiling's slack is used: the rest is for rounding
-	fullMost    = 4.0              // bursts: others' words fill a bucket no further, so it leaks in time
+	// Time constant with which all rates decay. It is long compared with the gaps between requests and short
+	// compared with shifts of traffic.
+	rateMemory = 2 * time.Second
+	// Fraction of a gateway's even share of the rate that is added to its measured demand, so that the shares
+	// of gateways with rare requests stay steady.
+	demandPrior = 0.05
+	// Level of a bucket after a start, as a fraction of the burst: earlier use is unknown.
+	initialLevel = 0.5
+	// Once a peer has been silent for this long, the totals from peers no longer correct the buckets.
+	peerTimeout = 1 * time.Second
+	// The meter reports late. Totals older than this are ignored.
+	meterTTL = 3 * time.Second
+	// Each meter report multiplies the correction factor on the share by meterIncrease, up to a factor of 1.
+	// While the metered total exceeds the rate, the report also multiplies it by meterDecrease.
+	meterIncrease = 1.02
+	meterDecrease = 0.95
+	// A customer whose state equals that of a new one is evicted this long after its last use. This is well
+	// after peers have stopped counting on from the totals that were sent for it, which they do for
+	// peerTotalsTTL.
+	customerIdleTTL = 10 * time.Second
+	peerTotalsTTL   = 5 * time.Second
+	// Customers checked for eviction at each heartbeat: minSweep, plus all customers divided by sweepDivisor.
+	minSweep     = 4
+	sweepDivisor = 32
+	// Fraction of the slack of a hard ceiling that is used. The rest covers rounding.
+	slackFraction = 0.9
+	// Messages from other gateways raise the level of a bucket up to this many bursts, so that it drains in a
+	// bounded time.
+	maxLevelBursts = 4.0
 )
 
-// Sharing.
+// Exchange between peers.
 const (
-	intakePart = 0.8                    // of the stated intake is used by all peers together
-	askedStep  = 0.25                   // of the burst: asked units that are worth telling
-	quietBeat  = 400 * time.Millisecond // an idle peer still says that it lives
-	beatLeast  = time.Millisecond       // between two beats, however large the intake is
+	// Fraction of the configured message rate limit (Config.PeerIntake) that all peers together use.
+	intakeFraction = 0.8
+	// Demand that has not been sent to the peers yet is sent once it exceeds this fraction of the burst.
+	demandStep = 0.25
+	// An idle gateway still sends each peer a message this often, to show that it is alive.
+	idleHeartbeat = 400 * time.Millisecond
+	// Shortest interval between two heartbeats, however high the message rate limit is.
+	minHeartbeat = time.Millisecond
 )
 
-// Homes, where the intake is too small for telling everyone.
+// Quota owners. They are used where the message rate limit is too low for broadcasts.
 const (
-	meshPace   = 2.0                    // messages a second between any two: under it customers have homes
-	homes      = 2                      // of a customer; the second stands in for a silent first
-	askIntake  = 0.4                    // of the intake is for questions; beyond it refused ones wait longer
-	askFirst   = 30 * time.Millisecond  // wait for a home's word, until round trips were seen ...
-	askWaits   = 2.0                    // ... then so many times the usual one, and askLeast more
-	askLeast   = 12 * time.Millisecond  // a turn or two of either side
-	homeSilent = 1 * time.Second        // a home that twice gave no answer is not asked for so long
-	grantsKept = 3 * time.Second        // a home knows for so long what it granted
-	grantUse   = 100 * time.Millisecond // a grant under a ceiling is used within this, which the slack bears
-	waitMost   = 30 * time.Second       // longest wait that a home puts on those it refuses
-	waitLeast  = 0.1                    // seconds that refused ones wait where questions fill the intake ...
-	waitGrow   = 1.15                   // ... and longer with each ...
-	waitShrink = 0.9                    // ... and less where they don't
-	homeBeat   = 100 * time.Millisecond // pace of the upkeep
+	// Messages a second between any two gateways. Where the message rate limit allows less, customers have
+	// owners.
+	minBroadcastRate = 2.0
+	// Owners of a customer. The second one is the standby for a first one that does not answer.
+	ownersPerCustomer = 2
+	// Fraction of the message rate limit that is meant for queries to owners. Above it, refused customers
+	// have to wait longer.
+	queryIntakeFraction = 0.4
+	// Round trip to an owner that is assumed until one has been measured.
+	initialRoundTrip = 30 * time.Millisecond
+	// A query times out after queryTimeoutFactor times the usual round trip plus queryTimeoutMargin. The
+	// margin covers one or two turns of the event loop on either side.
+	queryTimeoutFactor = 2.0
+	queryTimeoutMargin = 12 * time.Millisecond
+	// An owner that left two queries unanswered gets no further queries for this long.
+	ownerBackoff = 1 * time.Second
+	// An owner remembers its decisions for this long.
+	grantTTL = 3 * time.Second
+	// A grant under a hard ceiling has to be used within this time. The slack of the ceiling covers the
+	// delay.
+	maxGrantAge = 100 * time.Millisecond
+	// Longest time that a refused customer is told to wait.
+	maxWait = 30 * time.Second
+	// Seconds that refused customers have to wait, at least, while queries exceed their fraction of the
+	// message rate limit. With each further refusal the wait is multiplied by waitIncrease; with each other
+	// decision it is multiplied by waitDecrease.
+	minWait      = 0.1
+	waitIncrease = 1.15
+	waitDecrease = 0.9
+	// Interval of the heartbeat in owner mode.
+	maintenanceInterval = 100 * time.Millisecond
 )
 
 // Servers.
 const (
-	baseGain   = 0.03            // gain of a class's usual time: slow, it is the fleet's yardstick
-	slowGain   = 0.2             // gain of a server's slowness against that: a few answers tell
-	firstGuess = 0.2             // of the aim: the usual time before any answer
-	slowMemory = 2 * time.Second // slowness fades at least so slowly: the unused get another look
-	crossZone  = 1.03            // factor on the estimate of a server in another zone
-	freshConn  = 2.5             // factor on one without a connection, where that is priced
-	coldMargin = 0.5             // of the cold budget is used, evenly: see coldRate
-	coldMost   = 0.75            // of it may come in one window, at most
-	coldLeast  = 0.5             // requests a window that all gateways together may send a cold server anyway
-	memoryOf   = 4.0             // answers of a server are how long its slowness is known ...
-	memoryMost = 20.0            // ... in seconds, this at most
-	missFades  = 2.0             // times that: known of a class's failures
-	missGain   = 0.25            // gain of a server's share of a class's requests that it leaves or fails
-	newsOf     = 3               // sights that a word carries: twice as many made the flow react to chance
-	missNear   = 0.2             // over the least such share: as good as the best
-	lookAt     = 64              // servers, from a random one on, are looked at for a request
+	// Gain of the moving average of a class's answer time, its usual time. It is low because all servers are
+	// compared with that time.
+	usualTimeGain = 0.03
+	// Gain of the moving average of a server's slowness: its answer time as a multiple of the usual time. A
+	// few answers are enough to tell.
+	slownessGain = 0.2
+	// Usual time of a class before any answer, as a fraction of its target latency (Class.Aim).
+	initialTimeFraction = 0.2
+	// Shortest time constant with which slowness decays towards 1. It decays so that servers that are not
+	// used get another try.
+	minHealthMemory = 2 * time.Second
+	// Factor on the estimate of a server in another zone.
+	crossZoneFactor = 1.03
+	// Factor on the estimate of a server without an idle connection, where connections have a price
+	// (Prices.Handshake).
+	newConnFactor = 2.5
+	// Fraction of the budget of a cold server that is used when its requests are evenly spread. The
+	// derivation is at coldRate.
+	coldBudgetFraction = 0.5
+	// Largest fraction of the budget of a cold server that may arrive within one FallWindow.
+	coldWindowFraction = 0.75
+	// Requests per FallWindow that all gateways together may send to a cold server in any case.
+	coldMinRequests = 0.5
+	// The slowness of a server is remembered for the time in which it gives this many answers, but for no
+	// longer than maxHealthMemory, in seconds.
+	memoryAnswers   = 4.0
+	maxHealthMemory = 20.0
+	// The miss rate of a class at a server is remembered for this many times as long as its slowness.
+	missMemoryFactor = 2.0
+	// Gain of the moving average of a miss rate: the fraction of a class's requests that a server leaves
+	// unanswered or fails.
+	missGain = 0.25
+	// Observations that a message of the owner protocol carries. With twice as many the admission window
+	// reacted to chance.
+	observationsPerMessage = 3
+	// A server whose miss rate is at most this much above the lowest one counts as equal to the best.
+	missTolerance = 0.2
+	// Usable servers that are considered for one request, starting at a random place in the list.
+	maxCandidates = 64
 )
 
 // Attempts.
 const (
-	ghostFor   = 1500 * time.Millisecond // work that nobody waits for counts as load no longer than this
-	waitPart   = 0.7                     // work that nobody waits for counts as load for so long
-	openLeast  = 8.0                     // attempts out a server, of all gateways, that press nobody: chance
-	aimMargin  = 6 * time.Millisecond    // an answer must be back at the client within the aim
-	overdueX   = 4.0                     // times its estimate: an attempt is overdue
-	overdueMin = 150 * time.Millisecond
-	budgetPart = 0.05 // further attempts a first attempt, by this much the retry budget grows ...
-	budgetMost = 10.0 // ... up to this many
-	openFree   = 4.0  // attempts out that press nobody where evidence is thin: one alone says nothing
-	shedFrom   = 0.25 // of the cap on open work, where the least worth work is shed
-	flowShrink = 0.85 // of the flow let in on thin evidence, for each answer missed here or as told ...
-	flowGrow   = 1.03 // ... and for each that came: it holds where one of six is missed
-	flowLeast  = 0.08 // the flow that finds out that a jam is over
-	flowMost   = 2.2  // over 1 nothing is shed: room for chance
-	shedTo     = 0.8  // of the time left: an estimate over it is hopeless
-
-	retryAdvice = 200 * time.Millisecond // where no bucket tells when to come back
+	// An abandoned attempt, which the server may still be working on, counts as load for no longer than this.
+	abandonedTTL = 1500 * time.Millisecond
+	// Fraction of the shortest target latency. Work in flight is capped at what the servers answer in that
+	// time; see overload.
+	openWorkFraction = 0.7
+	// Attempts in flight per server, over all gateways, that never count as overload: so many can coincide by
+	// chance.
+	minOpenPerServer = 8.0
+	// Subtracted from the target latency, as the answer has to be back at the client within it.
+	targetMargin = 6 * time.Millisecond
+	// An attempt is overdue after overdueFactor times its estimate, but no earlier than after minOverdue.
+	overdueFactor = 4.0
+	minOverdue    = 150 * time.Millisecond
+	// Retries per first attempt: each first attempt adds this to the retry budget, up to a budget of
+	// maxRetryBudget.
+	retryBudgetRatio = 0.05
+	maxRetryBudget   = 10.0
+	// Attempts in flight that never count as overload where traffic is sparse: a single one says nothing
+	// there.
+	sparseOpenAllowance = 4.0
+	// Fraction of the cap on work in flight above which the least valuable requests are shed.
+	shedThreshold = 0.25
+	// Where traffic is sparse, each unanswered request, observed here or reported by a peer, multiplies the
+	// admission window by windowDecrease, and each answered one by windowIncrease. The window stays the same
+	// where one request of six is unanswered.
+	windowDecrease = 0.85
+	windowIncrease = 1.03
+	// Smallest admission window. It lets in enough to find out that an overload is over.
+	minWindow = 0.08
+	// Largest admission window. Above 1 nothing is shed; the room above it absorbs chance.
+	maxWindow = 2.2
+	// A request is hopeless if its estimate exceeds this fraction of the time left.
+	maxEstimateFraction = 0.8
+
+	// Advice to the client on when to retry, where no bucket determines it.
+	defaultRetryAfter = 200 * time.Millisecond
 )
 
-// Handle takes one event at the time now and returns what is to be done, in order.
+// Handle processes one event at the time now and returns the actions to carry out, in order.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
-	g.out = nil
+	g.actions = nil
 	g.now = max(now, g.now)
-	if !g.begun {
-		g.begun, g.started = true, g.now
-		g.do(SetTimer{g.now + g.beatEvery(), beatToken})
+	if !g.initialized {
+		g.initialized, g.started = true, g.now
+		g.emit(SetTimer{g.now + g.heartbeatInterval(), heartbeatToken})
 	}
 	switch e := ev.(type) {
 	case FleetUpdate:
-		g.fleet(e)
+		g.onFleetUpdate(e)
 	case Request:
-		g.request(e)
+		g.onRequest(e)
 	case AnswerStarted:
 		if a := g.attempt(e.ID, e.Attempt); a != nil {
 			g.requests[e.ID].streaming = true
-			a.server.lastGood = g.now
+			a.server.lastAnswer = g.now
 		}
 	case AttemptEnded:
-		g.ended(e)
+		g.onAttemptEnded(e)
 	case ClientGone:
 		g.finish(g.requests[e.ID])
 	case TimerFired:
-		g.timer(e.Token)
+		g.onTimer(e.Token)
 	case PeerMessage:
-		g.heard(e)
+		g.onPeerMessage(e)
 	}
-	return g.out
+	return g.actions
 }
 
-func (g *Gateway) timer(token uint64) {
-	if token == beatToken {
-		g.beat()
+// onTimer runs a heartbeat, or handles the timer of an owner query or of an attempt.
+func (g *Gateway) onTimer(token uint64) {
+	if token == heartbeatToken {
+		g.heartbeat()
 		return
 	}
-	ref, ok := g.timers[token]
+	target, ok := g.timers[token]
 	delete(g.timers, token)
-	if r := g.requests[ref.id]; ok && ref.n < 0 && r != nil && r.asking {
-		g.unheard(r, ref.due)
-	} else if a := g.attempt(ref.id, ref.n); ok && a != nil && !a.over {
-		g.overdue(r, a)
+	if r := g.requests[target.requestID]; ok && target.attempt < 0 && r != nil && r.awaitingOwner {
+		g.ownerTimedOut(r, target.due)
+	} else if a := g.attempt(target.requestID, target.attempt); ok && a != nil && !a.ended {
+		g.onOverdue(r, a)
 	}
 }
 
 // ---- Quota.
 
-// leak brings a customer's buckets, store and part up to now.
-func (g *Gateway) leak(c *customer) {
-	dt := (g.now - c.at).Seconds()
-	c.at = g.now
-	c.level = max(0, c.level-c.part*c.plan.Rate*dt)
-	c.whole = max(0, c.whole-c.plan.Rate*dt)
-	even, slice := 1/float64(c.spread), g.slice(c)
-	c.store = min(c.store+c.plan.CeilingRate*slice*dt, c.plan.CeilingBurst*slice)
-	own := c.asked.get(g.now) + partPrior*c.plan.Rate*even
-	if !g.mesh && g.now-c.toldAt < partMemory {
-		c.part = min(1, max(even, own/max(own, c.asksAll)))
+// updateQuota brings a customer's buckets, ceiling tokens and share up to the current time.
+//
+// The share is this gateway's part of the demand of all gateways, and never less than an even share. In owner
+// mode the total demand is the one that the owner reported. In broadcast mode it is the sum of what the peers
+// reported. If a peer is silent, the share follows the meter, or is even where the meter reports nothing.
+func (g *Gateway) updateQuota(c *customer) {
+	elapsed := (g.now - c.updatedAt).Seconds()
+	c.updatedAt = g.now
+	c.bucketLevel = max(0, c.bucketLevel-c.share*c.plan.Rate*elapsed)
+	c.sharedLevel = max(0, c.sharedLevel-c.plan.Rate*elapsed)
+	evenShare, ceilingShare := 1/float64(c.spread), g.ceilingShare(c)
+	c.ceilingTokens = min(c.ceilingTokens+c.plan.CeilingRate*ceilingShare*elapsed,
+		c.plan.CeilingBurst*ceilingShare)
+	ownDemand := c.demand.get(g.now) + demandPrior*c.plan.Rate*evenShare
+	if !g.broadcasts && g.now-c.totalDemandAt < rateMemory {
+		c.share = min(1, max(evenShare, ownDemand/max(ownDemand, c.totalDemand)))
 		return
 	}
-	all := own
-	oldest := g.now
+	allDemand := ownDemand
+	oldestHeard := g.now
 	for i := range g.peers {
-		if i != g.cfg.Rank && g.inSet(c, i) {
-			all += c.told[i].rate.get(g.now) + partPrior*c.plan.Rate*even
-			if oldest = min(oldest, g.peers[i].heard); !g.peers[i].known {
-				oldest = g.now - peerStale
+		if i != g.cfg.Rank && g.servedBy(c, i) {
+			allDemand += c.peerTotals[i].rate.get(g.now) + demandPrior*c.plan.Rate*evenShare
+			if oldestHeard = min(oldestHeard, g.peers[i].lastHeard); !g.peers[i].known {
+				oldestHeard = g.now - peerTimeout
 			}
 		}
 	}
-	c.part = even
-	if g.now-oldest >= peerStale || all == 0 || (len(g.peers) == 0 && c.spread > 1) {
-		if c.metered > 0 && g.now-c.meteredAt < meterStale {
-			c.part = max(even, min(1, c.factor*c.used.get(g.now)/c.metered))
+	c.share = evenShare
+	if g.now-oldestHeard >= peerTimeout || allDemand == 0 || (len(g.peers) == 0 && c.spread > 1) {
+		if c.metered > 0 && g.now-c.meteredAt < meterTTL {
+			c.share = max(evenShare, min(1, c.meterFactor*c.useRate.get(g.now)/c.metered))
 		}
 		return
 	}
-	c.part = max(even, own/all)
-	if c.spread > 1 && oldest > c.settled {
-		if c.settled = oldest; all <= c.plan.Rate {
-			c.level = 0 // else all contend for what leaks: each takes its part alone
+	c.share = max(evenShare, ownDemand/allDemand)
+	if c.spread > 1 && oldestHeard > c.settledAt {
+		// If the total demand exceeds the rate, all gateways compete for the units that leak out. Each then
+		// keeps to its own share, and its level may only be raised.
+		if c.settledAt = oldestHeard; allDemand <= c.plan.Rate {
+			c.bucketLevel = 0
 		}
-		c.level = max(c.level, c.part*c.whole)
+		c.bucketLevel = max(c.bucketLevel, c.share*c.sharedLevel)
 	}
 }
 
-// admit decides whether the quota has room.
+// admit records the demand of a request and reports whether this gateway's part of the quota has room. It is
+// used in broadcast mode.
 func (g *Gateway) admit(c *customer, r *request) bool {
-	g.leak(c)
-	c.asked.add(g.now, r.units)
-	if c.askedSum += r.units; c.askedSum-c.askedTold > askedStep*c.plan.Burst {
-		c.askedTold = c.askedSum
-		g.tellSoon(c, 0, len(g.peers)) // what was sent on is told at once, what was only asked by the step
-	}
-	return c.room(r.units) && (c.plan.CeilingRate == 0 || // an even slice of the store, empty at a start
-		c.store+slackPart*c.plan.CeilingSlack/float64(c.spread) >= r.units)
+	g.updateQuota(c)
+	c.demand.add(g.now, r.units)
+	if c.demandSum += r.units; c.demandSum-c.demandSent > demandStep*c.plan.Burst {
+		c.demandSent = c.demandSum
+		// Charged units are queued at once (see charge), demand only in steps.
+		g.queueForPeers(c, 0, len(g.peers))
+	}
+	// A hard ceiling has room if this gateway's share of the ceiling tokens, of which there are none at a
+	// start, and an even share of the slack cover the units.
+	return c.hasRoom(r.units) && (c.plan.CeilingRate == 0 ||
+		c.ceilingTokens+slackFraction*c.plan.CeilingSlack/float64(c.spread) >= r.units)
 }
 
-func (c *customer) room(units float64) bool {
-	return (c.plan.Rate == 0 || c.level+c.part*units <= c.part*c.plan.Burst) &&
-		(c.plan.MaxOpen == 0 || float64(c.open) < math.Ceil(c.part*float64(c.plan.MaxOpen)))
+// hasRoom reports whether this gateway's bucket and its share of the cap on attempts in flight have room for
+// so many units. The share of the cap is rounded up, so that no gateway is left without any.
+func (c *customer) hasRoom(units float64) bool {
+	return (c.plan.Rate == 0 || c.bucketLevel+c.share*units <= c.share*c.plan.Burst) &&
+		(c.plan.MaxOpen == 0 || float64(c.open) < math.Ceil(c.share*float64(c.plan.MaxOpen)))
 }
 
-// roomIn is how long the quota needs to have room for so many units: what the client is told to wait.
-func (g *Gateway) roomIn(c *customer, units float64) time.Duration {
-	wait := (c.shut - g.now).Seconds()
-	if p := c.plan; p.Rate > 0 {
-		wait = max(wait, (c.level+c.part*(units-p.Burst))/(c.part*p.Rate))
+// timeUntilRoom returns how long it takes until the quota has room for so many units. The client is advised
+// to wait for that time.
+func (g *Gateway) timeUntilRoom(c *customer, units float64) time.Duration {
+	wait := (c.throttledUntil - g.now).Seconds()
+	if plan := c.plan; plan.Rate > 0 {
+		wait = max(wait, (c.bucketLevel+c.share*(units-plan.Burst))/(c.share*plan.Rate))
 	}
-	if p := c.plan; p.CeilingRate > 0 {
-		slack := slackPart * p.CeilingSlack / float64(c.spread)
-		wait = max(wait, (units-slack-c.store)/(p.CeilingRate*g.slice(c)))
+	if plan := c.plan; plan.CeilingRate > 0 {
+		slack := slackFraction * plan.CeilingSlack / float64(c.spread)
+		wait = max(wait, (units-slack-c.ceilingTokens)/(plan.CeilingRate*g.ceilingShare(c)))
 	}
-	if wait <= 0 { // it is the cap on attempts out, which says nothing of time
-		return retryAdvice
+	if wait <= 0 { // only the cap on attempts in flight has no room, and it does not depend on time
+		return defaultRetryAfter
 	}
-	return time.Duration(min(wait, waitMost.Seconds()) * float64(time.Second))
+	return time.Duration(min(wait, maxWait.Seconds()) * float64(time.Second))
 }
 
-// meter takes what an answer tells of the customer's use; it decides the part where peers are silent.
-func (g *Gateway) meter(c *customer, percent int) {
+// observeMeter records the metered use of a customer that an answer reports. It determines the share while
+// peers are silent. percent is 1 + the use in percent of the rate.
+func (g *Gateway) observeMeter(c *customer, percent int) {
 	c.metered, c.meteredAt = float64(percent-1)/100*c.plan.Rate, g.now
-	c.factor = min(1, c.factor*meterGrow)
+	c.meterFactor = min(1, c.meterFactor*meterIncrease)
 	if c.metered > c.plan.Rate {
-		c.factor *= meterShrink
+		c.meterFactor *= meterDecrease
 	}
 }
 
+// charge counts units as used, or returns them if negative, and queues the new totals for the peers.
 func (g *Gateway) charge(c *customer, units float64) {
-	c.level += units
-	if g.mesh {
-		c.whole += units
+	c.bucketLevel += units
+	if g.broadcasts {
+		c.sharedLevel += units
 	}
 	c.usedSum += units
-	c.used.add(g.now, units)
-	g.tellSoon(c, 0, len(g.peers))
+	c.useRate.add(g.now, units)
+	g.queueForPeers(c, 0, len(g.peers))
 }
 
-// replan holds a customer to the plan that its request names. It was changed, or a word named another before.
-func (g *Gateway) replan(c *customer, planNo int) {
+// setPlan switches a customer to the plan that its request names. It differs from the known one if the
+// customer's plan has changed, or if an earlier message named another plan.
+func (g *Gateway) setPlan(c *customer, planNo int) {
 	if c.planNo == planNo {
 		return
 	}
-	g.leak(c)
+	g.updateQuota(c)
 	c.plan, c.planNo = &g.cfg.Plans[planNo], planNo
-	c.level, c.whole = min(c.level, c.part*c.plan.Burst), min(c.whole, c.plan.Burst)
-	c.store = min(c.store, c.plan.CeilingBurst*g.slice(c))
+	c.bucketLevel, c.sharedLevel = min(c.bucketLevel, c.share*c.plan.Burst), min(c.sharedLevel, c.plan.Burst)
+	c.ceilingTokens = min(c.ceilingTokens, c.plan.CeilingBurst*g.ceilingShare(c))
 }
 
-// fill takes what others say was used of the customer's whole bucket.
-func (c *customer) fill(units float64) {
-	c.whole = max(0, min(c.whole+units, fullMost*c.plan.Burst))
+// addPeerUse adds units that other gateways used to the shared level, up to maxLevelBursts bursts.
+func (c *customer) addPeerUse(units float64) {
+	c.sharedLevel = max(0, min(c.sharedLevel+units, maxLevelBursts*c.plan.Burst))
 }
 
-// ---- Sharing.
+// ---- Exchange between peers.
 
-// tellsAll reports whether the intake lets every gateway tell every other often enough.
-func (g *Gateway) tellsAll() bool {
-	return !g.cfg.Limits.Peers || intakePart*g.cfg.PeerIntake >= meshPace*float64(g.cfg.Gateways-1)
+// canBroadcast reports whether the message rate limit lets every gateway send to every other often enough.
+// Without peers nothing is sent, and the limit does not matter.
+func (g *Gateway) canBroadcast() bool {
+	return !g.cfg.Limits.Peers ||
+		intakeFraction*g.cfg.PeerIntake >= minBroadcastRate*float64(g.cfg.Gateways-1)
 }
 
-func (g *Gateway) beatEvery() time.Duration {
-	if !g.mesh {
-		return homeBeat
+// heartbeatInterval returns the interval between two heartbeats. In broadcast mode it is as short as the
+// message rate limit allows, and at most a second.
+func (g *Gateway) heartbeatInterval() time.Duration {
+	if !g.broadcasts {
+		return maintenanceInterval
 	}
-	perS := intakePart * g.cfg.PeerIntake / float64(max(1, g.cfg.Gateways-1))
-	return max(beatLeast, time.Duration(float64(time.Second)/max(perS, 1)))
+	perSecond := intakeFraction * g.cfg.PeerIntake / float64(max(1, g.cfg.Gateways-1))
+	return max(minHeartbeat, time.Duration(float64(time.Second)/max(perSecond, 1)))
 }
 
-// tellSoon queues what is known of a customer for the gateways of those numbers that are in its set.
-func (g *Gateway) tellSoon(c *customer, from, to int) {
+// queueForPeers queues the totals of a customer for the gateways with numbers from "from" to below "to" that
+// may receive the customer's requests.
+func (g *Gateway) queueForPeers(c *customer, from, to int) {
 	for i := from; i < to; i++ {
-		if i != g.cfg.Rank && g.inSet(c, i) && !c.queued[i] {
+		if i != g.cfg.Rank && g.servedBy(c, i) && !c.queued[i] {
 			c.queued[i] = true
 			g.peers[i].queue = append(g.peers[i].queue, c)
 		}
 	}
 }
 
-func (g *Gateway) beat() {
-	g.do(SetTimer{g.now + g.beatEvery(), beatToken})
+// heartbeat sends each peer what is queued for it, sums up the servers and evicts idle customers. It sets the
+// timer of the next heartbeat.
+func (g *Gateway) heartbeat() {
+	g.emit(SetTimer{g.now + g.heartbeatInterval(), heartbeatToken})
 	for i := range g.peers {
 		p := &g.peers[i]
-		if i == g.cfg.Rank || (len(p.queue) == 0 && g.now-p.sent < quietBeat) {
+		if i == g.cfg.Rank || (len(p.queue) == 0 && g.now-p.lastSent < idleHeartbeat) {
 			continue
 		}
-		p.sent, p.mySeq = g.now, (p.mySeq+1)%4096
-		g.do(Tell{i, g.message(i, p)})
+		p.lastSent, p.sentSeq = g.now, (p.sentSeq+1)%4096
+		g.emit(SendToPeer{i, g.nextMessage(i, p)})
 	}
-	g.survey()
-	g.sweep()
+	g.summarizeFleet()
+	g.evictIdleCustomers()
 }
 
-func (g *Gateway) message(i int, p *peer) string {
+// nextMessage returns a message to a peer with as many of the customers queued for it as fit.
+func (g *Gateway) nextMessage(to int, p *peer) string {
 	var b strings.Builder
-	encodeHead(&b, g.epoch, p.mySeq)
-	n := min(len(p.queue), (maxMessage-msgHead)/msgEntry)
-	for _, c := range p.queue[:n] {
-		c.queued[i] = false
-		c.last = g.now
-		g.leak(c)
+	encodeHeader(&b, g.epoch, p.sentSeq)
+	count := min(len(p.queue), (maxMessageLen-msgHeaderLen)/msgEntryLen)
+	for _, c := range p.queue[:count] {
+		c.queued[to] = false
+		c.lastUsed = g.now
+		g.updateQuota(c)
 		c.encode(&b)
 	}
-	p.queue = slices.Delete(p.queue, 0, n)
+	p.queue = slices.Delete(p.queue, 0, count)
 	return b.String()
 }
 
-// heard takes a peer's message. Totals make lost and repeated messages harmless, the number makes late
-// ones so, the epoch a restart of the peer.
-func (g *Gateway) heard(e PeerMessage) {
-	epoch, seq, ok := parseHead(e.Text)
+// onPeerMessage processes a message of a peer. In owner mode it is one of the owner protocol. Broadcast
+// messages carry running totals, so lost and repeated ones do no harm. The sequence number reveals late
+// messages, and the epoch a restart of the peer.
+func (g *Gateway) onPeerMessage(e PeerMessage) {
+	epoch, seq, ok := parseHeader(e.Text)
 	other := e.From >= 0 && e.From < g.cfg.Gateways && e.From != g.cfg.Rank
-	if other && !g.mesh {
-		g.word(e.From, e.Text)
+	if other && !g.broadcasts {
+		g.onOwnerMessage(e.From, e.Text)
 	}
 	if !ok || !other || len(g.peers) == 0 {
 		return
 	}
 	p := &g.peers[e.From]
-	if p.known && p.epoch == epoch && diff(p.seq, seq) <= 0 {
+	if p.known && p.epoch == epoch && wrappedDiff(p.seq, seq) <= 0 {
 		return
 	}
 	if !p.known || p.epoch != epoch {
-		g.greet(e.From, p)
+		g.resetPeer(e.From, p)
 	}
-	p.epoch, p.seq, p.known, p.heard = epoch, seq, true, g.now
-	for s := e.Text[msgHead:]; s != ""; s = s[msgEntry:] {
-		g.learn(e.From, p, s[:msgEntry])
+	p.epoch, p.seq, p.known, p.lastHeard = epoch, seq, true, g.now
+	for s := e.Text[msgHeaderLen:]; s != ""; s = s[msgEntryLen:] {
+		g.applyEntry(e.From, p, s[:msgEntryLen])
 	}
 }
 
-// greet meets a new life of a peer: its totals begin anew, and it is told all there is to tell.
-func (g *Gateway) greet(i int, p *peer) {
-	p.younger = p.known
-	for _, c := range g.queue {
-		c.told[i].have = false
-		g.tellSoon(c, i, i+1)
+// resetPeer handles the first message of a peer, or the first one after its restart. The totals of the peer
+// start anew, and all customers are queued for it.
+func (g *Gateway) resetPeer(from int, p *peer) {
+	p.startedLater = p.known
+	for _, c := range g.evictionQueue {
+		c.peerTotals[from].known = false
+		g.queueForPeers(c, from, from+1)
 	}
 }
 
-func (g *Gateway) learn(from int, p *peer, s string) {
-	key, planNo, used, asked, level := parseEntry(s)
+// applyEntry adds what an entry of a peer's message reports of a customer. The differences from the previous
+// totals count. The first totals after a gap only serve as the base for the next ones; after a restart of the
+// peer its totals count from 0.
+func (g *Gateway) applyEntry(from int, p *peer, entry string) {
+	customerKey, planNo, used, demand, level := parseEntry(entry)
 	if planNo >= len(g.cfg.Plans) {
 		return
 	}
-	c := g.customer(key, planNo)
-	g.leak(c)
-	t := &c.told[from]
+	c := g.customer(customerKey, planNo)
+	g.updateQuota(c)
+	totals := &c.peerTotals[from]
 	switch {
-	case !t.have && p.younger:
-		t.used, t.asked = 0, 0
-	case !t.have || g.now-t.at > toldFor: // the peer may have forgotten the customer since, and count anew
-		t.used, t.asked = used, asked
-		c.whole = max(c.whole, level*c.plan.Burst)
-	}
-	t.have, t.at = true, g.now
-	c.fill(diff(t.used, used))
-	t.rate.add(g.now, max(0, diff(t.asked, asked)))
-	t.used, t.asked = used, asked
+	case !totals.known && p.startedLater:
+		totals.used, totals.demand = 0, 0
+	case !totals.known || g.now-totals.receivedAt > peerTotalsTTL:
+		// The peer may have evicted the customer since, and count from 0 again.
+		totals.used, totals.demand = used, demand
+		c.sharedLevel = max(c.sharedLevel, level*c.plan.Burst)
+	}
+	totals.known, totals.receivedAt = true, g.now
+	c.addPeerUse(wrappedDiff(totals.used, used))
+	totals.rate.add(g.now, max(0, wrappedDiff(totals.demand, demand)))
+	totals.used, totals.demand = used, demand
 }
 
-// ---- Homes. Where the intake is too small for telling everyone, a gateway's part of a mark is less than one
-// request and what it last heard is older than the bucket. There the bucket of the whole customer stands at
-// its home, and a request waits for the home's word, a few turns, before this gateway's bucket decides.
+// ---- Quota owners. Where the message rate limit is too low for broadcasts, a gateway's share of a burst is
+// less than one request, and its last message from a peer is older than the time that a bucket covers. There
+// the owner of a customer keeps the bucket for all gateways. A request waits for the owner's response, which
+// takes a few turns of the event loop. Only without a response does this gateway's own bucket decide.
 
-// home is the number of the nth gateway that keeps the customer's bucket, the same at every gateway.
-func (g *Gateway) home(key uint64, n int) int {
+// owner returns the number of the customer's nth owner, the gateway that keeps the customer's bucket. All
+// gateways compute the same one.
+func (g *Gateway) owner(key uint64, n int) int {
 	first := int(key % uint64(g.cfg.Gateways))
 	if n == 0 {
 		return first
@@ -368,181 +488,201 @@
 	return (first + 1 + int(key>>18%uint64(g.cfg.Gateways-1))) % g.cfg.Gateways
 }
 
-// ask gets the home's word on a request. Each home is asked twice, as words may be lost; one that was silent
-// is left out for a while. Without any word the gateway's own bucket decides, but nothing passes a ceiling.
-func (g *Gateway) ask(r *request) {
-	c := r.cust
-	for ; r.asked < 2*homes && g.now < r.until; r.asked++ {
-		i := g.home(c.key, r.asked/2)
-		if i == g.cfg.Rank {
-			ok, _ := g.grant(c, i, r.no, r.units)
-			r.granted = i
+// queryOwner gets the decision of the customer's owner on a request. Each owner is queried twice, as messages
+// may be lost. An owner that did not answer is skipped for a while. Without any response this gateway's own
+// bucket decides, but nothing is admitted under a hard ceiling.
+func (g *Gateway) queryOwner(r *request) {
+	c := r.customer
+	for ; r.ownerTries < 2*ownersPerCustomer && g.now < r.cutoff; r.ownerTries++ {
+		owner := g.owner(c.key, r.ownerTries/2)
+		if owner == g.cfg.Rank {
+			ok, _ := g.decideAsOwner(c, owner, r.queryNo, r.units)
+			r.grantedBy = owner
 			g.decide(r, ok)
 			return
 		}
-		if g.silent[i] > g.now {
+		if g.silentUntil[owner] > g.now {
 			continue
 		}
-		r.asked++
-		if r.asking = true; r.askedAt == 0 {
-			r.askedAt = g.now
+		r.ownerTries++
+		if r.awaitingOwner = true; r.firstQueryAt == 0 {
+			r.firstQueryAt = g.now
 		}
-		g.asks[r.no] = r
-		g.tell(i, 'a', c, r.no, r.units)
-		g.wake(r.ID, -1, min(r.until, g.now+askLeast+time.Duration(askWaits*float64(g.trip))))
+		g.queries[r.queryNo] = r
+		g.sendOwnerMessage(owner, 'a', c, r.queryNo, r.units)
+		g.setTimer(r.ID, -1,
+			min(r.cutoff,
+				g.now+queryTimeoutMargin+time.Duration(queryTimeoutFactor*float64(g.ownerRoundTrip))))
 		return
 	}
-	r.asking = false
-	g.leak(c)
-	g.decide(r, c.plan.CeilingRate == 0 && c.room(r.units))
+	r.awaitingOwner = false
+	g.updateQuota(c)
+	g.decide(r, c.plan.CeilingRate == 0 && c.hasRoom(r.units))
 }
 
-// unheard takes that a home gave no answer in time. A gateway that itself stood still waits a little more:
-// the answer may be among all that it finds now.
-func (g *Gateway) unheard(r *request, due time.Duration) {
-	if g.now-due > askLeast && g.now < r.until {
-		g.wake(r.ID, -1, min(r.until, g.now+askLeast))
+// ownerTimedOut handles a query that was not answered in time. A gateway that was itself delayed waits a
+// little longer: the response may be among the events that it has yet to process.
+func (g *Gateway) ownerTimedOut(r *request, due time.Duration) {
+	if g.now-due > queryTimeoutMargin && g.now < r.cutoff {
+		g.setTimer(r.ID, -1, min(r.cutoff, g.now+queryTimeoutMargin))
 		return
 	}
-	if r.asked%2 == 0 {
-		g.silent[g.home(r.cust.key, r.asked/2-1)] = g.now + homeSilent
+	if r.ownerTries%2 == 0 {
+		g.silentUntil[g.owner(r.customer.key, r.ownerTries/2-1)] = g.now + ownerBackoff
 	}
-	delete(g.asks, r.no)
-	g.ask(r)
+	delete(g.queries, r.queryNo)
+	g.queryOwner(r)
 }
 
-// grant decides as a home, by the bucket of the whole customer, and tells how long those refused may wait.
-// It guards quota, cap on attempts out and ceiling; a question that comes twice gets the same answer once.
-func (g *Gateway) grant(c *customer, from int, no uint64, units float64) (ok bool, wait float64) {
-	g.leak(c)
-	out := 0
+// decideAsOwner decides on a request as the customer's owner, by the bucket for all gateways, and returns how
+// many seconds refused customers should wait. It enforces the rate, the cap on attempts in flight and the
+// hard ceiling. A query that arrives twice gets the same decision and counts once.
+func (g *Gateway) decideAsOwner(c *customer, from int, queryNo uint64,
+	units float64) (ok bool, wait float64) {
+	g.updateQuota(c)
+	inFlight := 0
 	for i := range c.grants {
-		d := &c.grants[i]
-		if d.from == from && d.no == no {
-			return d.ok, c.wait
+		decision := &c.grants[i]
+		if decision.from == from && decision.queryNo == queryNo {
+			return decision.granted, c.wait
 		}
-		d.out = d.out && (g.now-d.at).Seconds() < g.quickest
-		out += b2i(d.out)
-	}
-	c.grants = slices.DeleteFunc(c.grants, func(d grant) bool { return g.now-d.at > grantsKept })
-	c.fleet.add(g.now, units)
-	ok = (c.plan.Rate == 0 || c.whole+units <= c.plan.Burst) &&
-		(c.plan.MaxOpen == 0 || out < c.plan.MaxOpen) && (c.plan.CeilingRate == 0 || c.store >= units)
+		decision.open = decision.open && (g.now-decision.decidedAt).Seconds() < g.shortestTarget
+		inFlight += boolToInt(decision.open)
+	}
+	c.grants = slices.DeleteFunc(c.grants, func(d grant) bool { return g.now-d.decidedAt > grantTTL })
+	c.ownerDemand.add(g.now, units)
+	ok = (c.plan.Rate == 0 || c.sharedLevel+units <= c.plan.Burst) &&
+		(c.plan.MaxOpen == 0 || inFlight < c.plan.MaxOpen) &&
+		(c.plan.CeilingRate == 0 || c.ceilingTokens >= units)
 	if ok {
-		c.whole += units
-		c.store -= units
+		c.sharedLevel += units
+		c.ceilingTokens -= units
 	}
-	if !ok && g.askRate.get(g.now) > askIntake*g.cfg.PeerIntake {
-		c.wait = min(waitMost.Seconds(), max(c.wait, waitLeast)*waitGrow)
+	if !ok && g.queryRate.get(g.now) > queryIntakeFraction*g.cfg.PeerIntake {
+		c.wait = min(maxWait.Seconds(), max(c.wait, minWait)*waitIncrease)
 	} else {
-		c.wait *= waitShrink
+		c.wait *= waitDecrease
 	}
-	c.grants = append(c.grants, grant{from: from, no: no, at: g.now, ok: ok, out: ok && c.plan.MaxOpen > 0})
+	c.grants = append(c.grants, grant{from: from, queryNo: queryNo, decidedAt: g.now, granted: ok,
+		open: ok && c.plan.MaxOpen > 0})
 	return ok, c.wait
 }
 
-// tellEnd settles a request with the home that granted it: true units, and that its attempt is over.
-func (g *Gateway) tellEnd(r *request, more float64) {
-	if r.granted < 0 || (more == 0 && r.cust.plan.MaxOpen == 0) {
+// settleWithOwner reports the end of a request to the owner that granted it: the units used beyond those
+// granted, and that its attempt has ended.
+func (g *Gateway) settleWithOwner(r *request, extraUnits float64) {
+	if r.grantedBy < 0 || (extraUnits == 0 && r.customer.plan.MaxOpen == 0) {
 		return
 	}
-	if r.granted == g.cfg.Rank {
-		g.settle(r.cust, g.cfg.Rank, r.no, more)
+	if r.grantedBy == g.cfg.Rank {
+		g.settleGrant(r.customer, g.cfg.Rank, r.queryNo, extraUnits)
 	} else {
-		g.tell(r.granted, 'd', r.cust, r.no, more)
+		g.sendOwnerMessage(r.grantedBy, 'd', r.customer, r.queryNo, extraUnits)
 	}
 }
 
-func (g *Gateway) settle(c *customer, from int, no uint64, more float64) {
+// settleGrant applies, as an owner, the report of the end of a request that it has granted. A second report
+// of the same request has no effect.
+func (g *Gateway) settleGrant(c *customer, from int, queryNo uint64, extraUnits float64) {
 	for i := range c.grants {
-		if d := &c.grants[i]; d.from == from && d.no == no && d.ok && !d.settled {
-			g.leak(c)
-			c.fill(more)
-			d.out, d.settled = false, true
+		if d := &c.grants[i]; d.from == from && d.queryNo == queryNo && d.granted && !d.settled {
+			g.updateQuota(c)
+			c.addPeerUse(extraUnits)
+			d.open, d.settled = false, true
 		}
 	}
 }
 
-// word takes a word of another gateway. What is malformed, unknown or comes to the wrong home is dropped.
-func (g *Gateway) word(from int, text string) {
-	w, ok := parseWord(text)
-	if !ok || w.plan >= len(g.cfg.Plans) {
+// onOwnerMessage processes a message of the owner protocol. Messages that are malformed, name an unknown plan
+// or go to a gateway that does not own the customer are dropped.
+func (g *Gateway) onOwnerMessage(from int, text string) {
+	msg, ok := parseOwnerMessage(text)
+	if !ok || msg.plan >= len(g.cfg.Plans) {
 		return
 	}
-	for _, v := range w.sights[:w.seen] {
-		if s := g.shorts[v.server]; s != nil && v.class < len(g.cfg.Classes) {
-			g.note(s, g.classes[g.cfg.Classes[v.class].Name], v.x, v.missed, v.failed)
+	for _, seen := range msg.observations[:msg.observationCount] {
+		if s := g.serversByKey[seen.server]; s != nil && seen.class < len(g.cfg.Classes) {
+			g.observe(s, g.classes[g.cfg.Classes[seen.class].Name],
+				seen.relativeTime, seen.missed, seen.failed)
 		}
 	}
-	delete(g.silent, from)
-	mine := g.home(w.key, 0) == g.cfg.Rank || g.home(w.key, 1) == g.cfg.Rank
+	delete(g.silentUntil, from)
+	isOwner := g.owner(msg.key, 0) == g.cfg.Rank || g.owner(msg.key, 1) == g.cfg.Rank
 	switch {
-	case w.kind == 'a' && w.n == 1 && w.v[0] >= 0 && mine:
-		g.askRate.add(g.now, 1)
-		c := g.customer(w.key, w.plan)
-		g.replan(c, w.plan)
-		ok, wait := g.grant(c, from, w.no, w.v[0])
-		g.tell(from, 'r', c, w.no, float64(b2i(ok)), c.whole, c.fleet.get(g.now), wait)
-	case w.kind == 'd' && w.n == 1 && mine:
-		g.settle(g.customer(w.key, w.plan), from, w.no, w.v[0])
-	case w.kind == 'r' && w.n == 4:
-		g.answer(from, w)
+	case msg.kind == 'a' && msg.valueCount == 1 && msg.values[0] >= 0 && isOwner:
+		g.queryRate.add(g.now, 1)
+		c := g.customer(msg.key, msg.plan)
+		g.setPlan(c, msg.plan)
+		ok, wait := g.decideAsOwner(c, from, msg.queryNo, msg.values[0])
+		g.sendOwnerMessage(from, 'r', c, msg.queryNo,
+			float64(boolToInt(ok)), c.sharedLevel, c.ownerDemand.get(g.now), wait)
+	case msg.kind == 'd' && msg.valueCount == 1 && isOwner:
+		g.settleGrant(g.customer(msg.key, msg.plan), from, msg.queryNo, msg.values[0])
+	case msg.kind == 'r' && msg.valueCount == 4:
+		g.onOwnerResponse(from, msg)
 	}
 }
 
-// answer takes the home's word: it settles part and level, and then the bucket decides. Another's is dropped.
-func (g *Gateway) answer(from int, w word) {
-	r := g.asks[w.no]
-	if r == nil || r.cust.key != w.key || (from != g.home(w.key, 0) && from != g.home(w.key, 1)) {
+// onOwnerResponse applies the response of an owner: it sets the share and the level of this gateway's bucket
+// and admits or refuses the request. A response that comes from another gateway, or that belongs to no open
+// query, is dropped.
+func (g *Gateway) onOwnerResponse(from int, msg ownerMessage) {
+	r := g.queries[msg.queryNo]
+	if r == nil || r.customer.key != msg.key || (from != g.owner(msg.key, 0) && from != g.owner(msg.key, 1)) {
 		return
 	}
-	ok, whole := w.v[0] > 0, w.v[1]
-	delete(g.asks, w.no)
-	if r.asked == 1 {
-		g.trip += time.Duration(0.1 * float64(g.now-r.askedAt-g.trip))
-	}
-	r.asking = false
-	c := r.cust
-	ok = ok && (c.plan.CeilingRate == 0 || g.now-r.askedAt <= grantUse)
-	c.asksAll, c.toldAt = w.v[2], g.now
-	g.leak(c)
-	c.level = c.part * whole
+	ok, sharedLevel := msg.values[0] > 0, msg.values[1]
+	delete(g.queries, msg.queryNo)
+	if r.ownerTries == 1 {
+		g.ownerRoundTrip += time.Duration(0.1 * float64(g.now-r.firstQueryAt-g.ownerRoundTrip))
+	}
+	r.awaitingOwner = false
+	c := r.customer
+	ok = ok && (c.plan.CeilingRate == 0 || g.now-r.firstQueryAt <= maxGrantAge)
+	c.totalDemand, c.totalDemandAt = msg.values[2], g.now
+	g.updateQuota(c)
+	c.bucketLevel = c.share * sharedLevel
 	if ok {
-		r.granted = from
+		r.grantedBy = from
 	} else {
 		r.reason = ReasonOwner
-		leaks := min(1, (whole+r.units-c.plan.Burst)/max(c.plan.Rate, 1e-9))
-		c.shut = g.now + time.Duration(min(waitMost.Seconds(), max(w.v[3], leaks))*float64(time.Second))
+		untilRoom := min(1, (sharedLevel+r.units-c.plan.Burst)/max(c.plan.Rate, 1e-9))
+		c.throttledUntil = g.now +
+			time.Duration(min(maxWait.Seconds(), max(msg.values[3], untilRoom))*float64(time.Second))
 	}
 	g.decide(r, ok)
 }
 
 // ---- Choice and health of servers.
 
-func (g *Gateway) fleet(e FleetUpdate) {
+// onFleetUpdate applies a change of the list of servers. If no server is known, it is the first list of the
+// process.
+func (g *Gateway) onFleetUpdate(e FleetUpdate) {
 	if e.Kind == FleetFailed {
 		return
 	}
-	listed, known := map[string]bool{}, len(g.order)
+	listed, firstNew := map[string]bool{}, len(g.serverList)
 	for _, s := range e.Servers {
 		listed[s.ID] = true
-		g.listed(s, known == 0)
+		g.updateServer(s, firstNew == 0)
 	}
-	g.place(known)
+	g.insertSorted(firstNew)
 	if e.Kind != FleetDelta {
-		for _, s := range g.order {
+		for _, s := range g.serverList {
 			if !listed[s.ID] {
-				s.State = Gone
+				s.State = Removed
 			}
 		}
 	}
-	g.survey()
+	g.summarizeFleet()
 }
 
-func (g *Gateway) listed(e Server, firstList bool) {
-	if e.State == Gone { // its cell and zone may be left out, and stay as told first: repeats go by them
+// updateServer applies one entry of the list of servers.
+func (g *Gateway) updateServer(e Server, firstList bool) {
+	// A removed entry may omit cell and zone: the known ones stay, as mayRepeatAt depends on them.
+	if e.State == Removed {
 		if s := g.servers[e.ID]; s != nil {
-			s.State = Gone
+			s.State = Removed
 		}
 		return
 	}
@@ -554,208 +694,247 @@
 	s.Server = e
 }
 
-// estimate is the time in seconds that an answer of the server to a request of the class should take.
+// estimate returns the time in seconds that the server should take to answer a request of the class. It is
+// the usual time of the class, times the slowness of the server, times its load compared with its average
+// load.
 func (g *Gateway) estimate(s *server, k *class) float64 {
-	return k.base * g.slowness(s) * (1 + g.load(s)) / (1 + s.outAvg)
+	return k.usualTime * g.slowness(s) * (1 + g.load(s)) / (1 + s.avgLoad)
 }
 
-// slowness is a server's, faded by the time since its last answer.
+// slowness returns the answer time of a server as a multiple of the usual time. It decays towards 1 with the
+// time since the last observation.
 func (g *Gateway) slowness(s *server) float64 {
-	return 1 + (s.slow-1)*math.Exp(-(g.now-s.slowAt).Seconds()/g.memory())
+	return 1 + (s.slowness-1)*math.Exp(-(g.now-s.slownessAt).Seconds()/g.healthMemory())
 }
 
-// memory is how long, in seconds, what is known of a server holds: longer where answers of it are rare.
-func (g *Gateway) memory() float64 {
-	return min(memoryMost, max(slowMemory.Seconds(), memoryOf*g.all.serving/max(g.seen.get(g.now), 1e-3)))
+// healthMemory returns the time constant, in seconds, with which observations of a server decay. It is longer
+// where answers of a server are rare.
+func (g *Gateway) healthMemory() float64 {
+	return min(maxHealthMemory,
+		max(minHealthMemory.Seconds(),
+			memoryAnswers*g.summary.serving/max(g.observationRate.get(g.now), 1e-3)))
 }
 
-// missed is the share of a class's requests that a server leaves unanswered or fails.
-func (g *Gateway) missed(s *server, k *class) float64 {
-	m := &s.miss[k.no]
-	return m.v * math.Exp(-(g.now-m.at).Seconds()/(missFades*g.memory()))
+// missRate returns the fraction of a class's requests that a server leaves unanswered or fails. It decays
+// with time.
+func (g *Gateway) missRate(s *server, k *class) float64 {
+	m := &s.missRates[k.index]
+	return m.value * math.Exp(-(g.now-m.updatedAt).Seconds()/(missMemoryFactor*g.healthMemory()))
 }
 
-// note takes how a request of a class fared at a server, here or at a gateway that told it: x times the usual
-// time, answered or not, or an error. It guards against servers that are slow or fail one class and serve the
-// others; it should catch what a server's age, a bad disk or a lost dependency do too, whoever met it first.
-// It could harm a server that only costly requests went to.
-func (g *Gateway) note(s *server, k *class, x float64, missed, failed bool) {
-	g.seen.add(g.now, 1)
-	v, to := g.missed(s, k), 0.0
+// observe records how a request of a class fared at a server, at this gateway or at one that reported it.
+// relativeTime is its time as a multiple of the usual time of the class. missed means that the request was
+// not answered or failed, failed that it failed.
+//
+// It protects against servers that are slow for one class, or fail it, and serve the others well. It is meant
+// to catch the effects of a server's age, a bad disk or a lost dependency too, whichever gateway meets them
+// first. It could harm a server that received only costly requests.
+func (g *Gateway) observe(s *server, k *class, relativeTime float64, missed, failed bool) {
+	g.observationRate.add(g.now, 1)
+	share, target := g.missRate(s, k), 0.0
 	if missed {
-		to = 1
+		target = 1
 	}
-	s.miss[k.no] = rate{v + missGain*(1+g.thin())*(to-v), g.now}
+	s.missRates[k.index] = decayingRate{share + missGain*(1+g.sparseTraffic())*(target-share), g.now}
 	if missed && !failed {
-		g.flow = max(flowLeast, g.flow*flowShrink)
+		g.admissionWindow = max(minWindow, g.admissionWindow*windowDecrease)
 	} else if !missed {
-		g.flow = min(flowMost, g.flow*flowGrow)
+		g.admissionWindow = min(maxWindow, g.admissionWindow*windowIncrease)
 	}
-	s.slow, s.slowAt = g.slowness(s), g.now
-	if !missed || x > s.slow {
-		s.slow += slowGain * (min(x, 20) - s.slow)
+	s.slowness, s.slownessAt = g.slowness(s), g.now
+	if !missed || relativeTime > s.slowness {
+		s.slowness += slownessGain * (min(relativeTime, 20) - s.slowness)
 	}
 }
 
-// saw notes how an own request fared and keeps it to be told.
-func (g *Gateway) saw(s *server, k *class, took time.Duration, missed, failed bool) {
-	x := took.Seconds() / max(k.base, 1e-6)
-	g.note(s, k, x, missed, failed)
-	g.news.add(sight{s.short, k.no, x, missed, failed})
+// observeOwn records how a request of this gateway fared and keeps the observation for the next messages to
+// others.
+func (g *Gateway) observeOwn(s *server, k *class, took time.Duration, missed, failed bool) {
+	relativeTime := took.Seconds() / max(k.usualTime, 1e-6)
+	g.observe(s, k, relativeTime, missed, failed)
+	g.recent.add(observation{s.key, k.index, relativeTime, missed, failed})
 	if !missed {
-		k.n++
-		k.base += max(baseGain, 1/k.n) * (took.Seconds() - k.base)
+		k.answers++
+		k.usualTime += max(usualTimeGain, 1/k.answers) * (took.Seconds() - k.usualTime)
 	}
 }
 
-// load is what this gateway has at the server: attempts out, and ghosts. A jammed server works on what has
-// timed out while its attempts out look few; without ghosts the jam feeds itself. Where a server drops such
-// work the first later answer clears them, so they cost little.
+// load returns the load of this gateway at the server: attempts in flight and abandoned ones. An overloaded
+// server works on requests that have timed out, while few attempts to it are in flight. Without the abandoned
+// attempts the overload would sustain itself. Where a server drops such requests, its first later answer
+// clears them (see observeOutcome), so counting them costs little.
 func (g *Gateway) load(s *server) float64 {
-	for len(s.ghosts) > 0 && g.now-s.ghosts[0] > ghostFor {
-		s.ghosts = s.ghosts[1:]
-		g.all.open--
+	for len(s.abandoned) > 0 && g.now-s.abandoned[0] > abandonedTTL {
+		s.abandoned = s.abandoned[1:]
+		g.summary.open--
 	}
-	return float64(s.out + len(s.ghosts))
+	return float64(s.inFlight + len(s.abandoned))
 }
 
-// coldRate guards the rule on cold servers: requests a second to it that mature here. A server falls that
-// gets over N + 2 sqrt N + 2 requests of mean work from all gateways in a FallWindow, N being FallMultiple
-// x its present capacity x FallWindow. Answers that came are fewer than servers can do, jammed or not, so
-// with u for what coldUse returns the rates of all gateways add up to u N a window at most, however uneven
-// their traffic. A request matures when a phase passes a whole number; it begins anywhere and no sending
-// changes it, so in a time that makes x of them on average one gateway gets the whole number below or above
-// x: x is the mean, the variance less than x, and no gateway depends on another or on what it saved before
-// a restart. What matured is lost after coldKeep, so what is sent in a window matured in it or in coldKeep
-// before: by the sum over the gateways, however many, coldMost N on average, and a standard deviation below
-// the root of that. From there to the bound it is 3.9 deviations or more for any N (3.1 where costs vary as
-// 0.5 to 2.5). That is if all save and then spend at once, as when warm servers jam; evenly spent it is u
-// N. The last quarter is for slow machines: at full load one of 0.64 among some of 0.9 on average gets 1.05
-// N at worst, 0.70 N evenly; or for a third of the requests that wait for a connection for up to 1.5
-// windows, N/4 at worst. coldLeast comes on top, out of the 2, as nothing is known of capacities while no
-// server answers.
+// coldRate returns the rate, in requests a second, at which this gateway accrues slow-start tokens for a cold
+// server. Each token allows one request to that server. The rate guards the rule that gateways must not make
+// a starting server fall over.
+//
+// The bound: a server falls over if it gets more than N + 2 sqrt(N) + 2 requests of mean work from all
+// gateways within one FallWindow. N is FallMultiple x its present capacity x FallWindow.
+//
+// The mean: the capacity is estimated from the answers that came. They are fewer than the servers can give,
+// overloaded or not. So the rates of all gateways add up to at most u N tokens per FallWindow, where u is the
+// result of coldBudgetUse, however uneven the traffic of the gateways is.
+//
+// The variance: a token accrues whenever a fractional count passes a whole number. The count begins at a
+// random fraction, and sending does not change it. In a time in which x tokens accrue on average, one gateway
+// therefore gets x rounded down or up. The mean is x and the variance is less than x. No gateway depends on
+// another, or on tokens it had before a restart.
+//
+// The margin: tokens expire after coldTokenTTL. A request sent within a window uses a token that accrued in
+// that window or in the coldTokenTTL before it. Summed over the gateways, however many there are, these are
+// coldWindowFraction x N tokens on average, with a standard deviation below the square root of that. From
+// there to the bound it is 3.9 standard deviations or more for any N (3.1 where the costs of requests vary
+// from 0.5 to 2.5). This holds even if all gateways save their tokens and spend them at once, as when the
+// warm servers are overloaded. If tokens are spent evenly, the server gets u N requests per window.
+//
+// The remaining quarter of N is for slow machines: at full load, one machine of speed 0.64 among others of
+// 0.9 on average gets 1.05 N at worst, and 0.70 N if tokens are spent evenly. Alternatively it is for a third
+// of the requests waiting up to 1.5 windows for a connection, which is N/4 at worst.
+//
+// coldMinRequests per window are added to this, as nothing is known of the capacity while no server answers.
+// They are covered by the constant 2 of the bound.
 func (g *Gateway) coldRate(s *server) float64 {
-	p, warm := g.cfg.Safety, g.all.answers/g.watched()/max(g.all.capacity, 1e-9)
-	return g.coldUse()*p.FallMultiple*g.capacity(s)*warm +
-		coldLeast/p.FallWindow.Seconds()/float64(g.cfg.Gateways)
+	safety, answersPerCapacity := g.cfg.Safety,
+		g.summary.answers/g.observedFraction()/max(g.summary.capacity, 1e-9)
+	return g.coldBudgetUse()*safety.FallMultiple*g.capacity(s)*answersPerCapacity +
+		coldMinRequests/safety.FallWindow.Seconds()/float64(g.cfg.Gateways)
 }
 
-// coldUse is the part of the cold budget that is used. A gateway that shares out uses no more than what a
-// warm server of the same capacity gets.
-func (g *Gateway) coldUse() float64 {
-	if g.sharesOut() {
-		return min(coldMargin, 1/g.cfg.Safety.FallMultiple)
+// coldBudgetUse returns the fraction of the budget of a cold server that is used. A gateway that spreads
+// requests evenly uses no more than what a warm server of the same capacity gets.
+func (g *Gateway) coldBudgetUse() float64 {
+	if g.spreadsEvenly() {
+		return min(coldBudgetFraction, 1/g.cfg.Safety.FallMultiple)
 	}
-	return coldMargin
+	return coldBudgetFraction
 }
 
-// sharesOut reports whether a request that matured goes to its cold server without comparing: this gateway
-// sees too little to compare, and by chance alone would seldom come to the server while it may.
-func (g *Gateway) sharesOut() bool { return g.all.warm > 0 && g.thin() == 1 }
+// spreadsEvenly reports whether a cold server that has a token gets a request without being compared with
+// other servers. This is so where the gateway sees too few answers to compare servers. By chance alone it
+// would seldom choose the cold server while the token is valid.
+func (g *Gateway) spreadsEvenly() bool { return g.summary.warm > 0 && g.sparseTraffic() == 1 }
 
-// coldKeep is for how many seconds a request to a cold server may be sent once it matured.
-func (g *Gateway) coldKeep() float64 {
-	return (coldMost/g.coldUse() - 1) * g.cfg.Safety.FallWindow.Seconds()
+// coldTokenTTL returns for how many seconds a slow-start token may be used after it has accrued.
+func (g *Gateway) coldTokenTTL() float64 {
+	return (coldWindowFraction/g.coldBudgetUse() - 1) * g.cfg.Safety.FallWindow.Seconds()
 }
 
-// capacity is the part of its warm capacity that a server has now, going by the settings.
+// capacity returns the present capacity of a server as a fraction of its warm capacity. According to the
+// settings it rises evenly from ColdFrom to 1 over ColdFor.
 func (g *Gateway) capacity(s *server) float64 {
 	if s.coldUntil <= g.now {
 		return 1
 	}
-	from, age := g.cfg.Safety.ColdFrom, 1-(s.coldUntil-g.now).Seconds()/g.cfg.Safety.ColdFor.Seconds()
-	return from + (1-from)*max(0, age)
+	start, elapsed := g.cfg.Safety.ColdFrom, 1-(s.coldUntil-g.now).Seconds()/g.cfg.Safety.ColdFor.Seconds()
+	return start + (1-start)*max(0, elapsed)
 }
 
-func (g *Gateway) survey() {
-	g.forgetServers()
-	all := survey{}
-	for _, o := range g.order {
-		if o.State != Serving {
+// summarizeFleet evicts removed servers and computes the sums over the others.
+func (g *Gateway) summarizeFleet() {
+	g.evictServers()
+	summary := fleetSummary{}
+	for _, s := range g.serverList {
+		if s.State != Serving {
 			continue
 		}
-		all.serving++
-		all.open += g.load(o)
-		all.capacity += g.capacity(o)
-		all.answers += o.answers.get(g.now)
-		all.warm += b2i(o.coldUntil <= g.now)
+		summary.serving++
+		summary.open += g.load(s)
+		summary.capacity += g.capacity(s)
+		summary.answers += s.answers.get(g.now)
+		summary.warm += boolToInt(s.coldUntil <= g.now)
 	}
-	g.all = all
+	g.summary = summary
 }
 
-// cold reports whether a server is cold and no request to it has matured of late that was not sent.
-func (g *Gateway) cold(s *server) bool {
+// coldBlocked accrues the slow-start tokens of a server up to the current time and reports whether the server
+// is cold and has no token that may still be used.
+func (g *Gateway) coldBlocked(s *server) bool {
 	if s.coldUntil <= g.now {
 		return false
 	}
 	rate := g.coldRate(s)
-	s.phase += rate * (g.now - s.phaseAt).Seconds()
-	s.phaseAt = g.now
-	if s.phase >= 1 {
-		s.phase -= math.Floor(s.phase)
-		s.ripe, s.matured = true, g.now-time.Duration(s.phase/rate*float64(time.Second))
+	s.tokenFraction += rate * (g.now - s.tokenFractionAt).Seconds()
+	s.tokenFractionAt = g.now
+	if s.tokenFraction >= 1 {
+		s.tokenFraction -= math.Floor(s.tokenFraction)
+		s.tokenReady, s.tokenReadyAt = true, g.now-time.Duration(s.tokenFraction/rate*float64(time.Second))
 	}
-	return !s.ripe || (g.now-s.matured).Seconds() > g.coldKeep()
+	return !s.tokenReady || (g.now-s.tokenReadyAt).Seconds() > g.coldTokenTTL()
 }
 
-// usable reports whether a request may go to the server by health and by the rules.
+// usable reports whether health and the safety rules allow the request to go to the server.
 func (g *Gateway) usable(s *server, r *request) bool {
-	return s.State == Serving && !g.cold(s) && g.mayRepeatAt(r, s)
+	return s.State == Serving && !g.coldBlocked(s) && g.mayRepeatAt(r, s)
 }
 
-// choose takes the server with the least estimate; last is the one that failed the request before. Where
-// answers of a server are too rare to know its load, it takes the better of two at random, of those that fail
-// the class little more than the best looked at: all would else run to the same few servers. Where
-// connections are priced, it takes them from those to which one stands idle, and one other: a gateway of a
-// large fleet would else come to each server so seldom that it makes a connection for every third request,
-// and learns little of any. A cold server to which a request matured comes first there.
+// choose returns the server with the lowest estimate for a request, and that estimate. last is the server
+// whose attempt failed before, if any.
+//
+// Where answers of each server are too rare to know its load, it takes the better one of two random
+// candidates whose miss rates are close to the lowest one found. Otherwise all gateways would converge on the
+// same few servers.
+//
+// Where connections have a price as well, it takes candidates to which a connection is idle, and one other.
+// Otherwise a gateway of a large fleet would come to each server so seldom that it would make a connection
+// for every third request and learn little about any server.
+//
+// A cold server that has a slow-start token comes first where spreadsEvenly says so.
 func (g *Gateway) choose(r *request, last *server) (*server, float64) {
-	var found [lookAt]*server
-	best, n, least, cost := (*server)(nil), 0, 1.0, 0.0
-	for i, from := 0, g.rng.Intn(max(1, len(g.order))); i < len(g.order) && n < lookAt; i++ {
-		s := g.order[(from+i)%len(g.order)]
+	var candidates [maxCandidates]*server
+	best, n, lowestMiss, cost := (*server)(nil), 0, 1.0, 0.0
+	for i, from := 0, g.rng.Intn(max(1, len(g.serverList))); i < len(g.serverList) && n < maxCandidates; i++ {
+		s := g.serverList[(from+i)%len(g.serverList)]
 		if !g.usable(s, r) {
 			continue
 		}
-		if s.coldUntil > g.now && last == nil && g.sharesOut() && g.missed(s, r.class) <= missNear {
-			if cost = g.estimate(s, r.class); cost < shedTo*(r.until-g.now).Seconds() {
+		if s.coldUntil > g.now && last == nil && g.spreadsEvenly() &&
+			g.missRate(s, r.class) <= missTolerance {
+			if cost = g.estimate(s, r.class); cost < maxEstimateFraction*(r.cutoff-g.now).Seconds() {
 				return s, cost
 			}
 		}
-		found[n] = s
+		candidates[n] = s
 		n++
-		least = min(least, g.missed(s, r.class))
+		lowestMiss = min(lowestMiss, g.missRate(s, r.class))
 	}
-	most, fresh := n, n
-	if g.thin() == 1 {
-		if most = 2; g.cfg.Prices.Handshake > 0 {
-			fresh = 1
+	// How many candidates may still be compared, and how many of them may have no idle connection.
+	remaining, remainingNew := n, n
+	if g.sparseTraffic() == 1 {
+		if remaining = 2; g.cfg.Prices.Handshake > 0 {
+			remainingNew = 1
 		}
 	}
-	for _, s := range found[:n] {
-		miss := g.missed(s, r.class)
-		if miss > least+missNear || most == 0 {
+	for _, s := range candidates[:n] {
+		miss := g.missRate(s, r.class)
+		if miss > lowestMiss+missTolerance || remaining == 0 {
 			continue
 		}
-		if !g.connected(s) {
-			if fresh == 0 {
+		if !g.hasIdleConn(s) {
+			if remainingNew == 0 {
 				continue
 			}
-			fresh--
+			remainingNew--
 		}
-		most--
-		c := g.estimate(s, r.class) / max(0.2, 1-miss) * (1 + 0.02*g.rng.Float64())
+		remaining--
+		candidateCost := g.estimate(s, r.class) / max(0.2, 1-miss) * (1 + 0.02*g.rng.Float64())
 		if s.Zone != g.cfg.Zone {
-			c *= crossZone
+			candidateCost *= crossZoneFactor
 		}
 		if s == last {
-			c *= 3
+			candidateCost *= 3
 		}
-		if g.cfg.Prices.Handshake > 0 && !g.connected(s) {
-			c *= freshConn
+		if g.cfg.Prices.Handshake > 0 && !g.hasIdleConn(s) {
+			candidateCost *= newConnFactor
 		}
-		if best == nil || c < cost {
-			best, cost = s, c
+		if best == nil || candidateCost < cost {
+			best, cost = s, candidateCost
 		}
 	}
 	if best == nil {
@@ -764,59 +943,63 @@
 	return best, g.estimate(best, r.class)
 }
 
-// connected reports whether a connection to the server is likely to stand idle.
-func (g *Gateway) connected(s *server) bool {
-	return s.kept > 0 && g.now-s.keptAt < g.cfg.Limits.ConnKept
+// hasIdleConn reports whether an idle connection to the server is likely to exist.
+func (g *Gateway) hasIdleConn(s *server) bool {
+	return s.idleConns > 0 && g.now-s.idleConnsAt < g.cfg.Limits.ConnKept
 }
 
-// thin is 1 where this gateway sees fewer answers in its memory than there are servers, and less where more.
-func (g *Gateway) thin() float64 {
-	return min(1, g.all.serving/max(g.done.get(g.now)*partMemory.Seconds(), 1))
+// sparseTraffic returns 1 where this gateway gets fewer answers within rateMemory than there are servers.
+// With more answers it falls towards 0.
+func (g *Gateway) sparseTraffic() float64 {
+	return min(1, g.summary.serving/max(g.answerRate.get(g.now)*rateMemory.Seconds(), 1))
 }
 
 // ---- Attempts and deadlines.
 
-func (g *Gateway) request(e Request) {
+// onRequest starts a request: it refuses it, sends it on, or queries the owner of the customer.
+func (g *Gateway) onRequest(e Request) {
 	if g.requests[e.ID] != nil {
 		return
 	}
 	k, planNo, ok := g.classes[e.Class], 0, false
 	if planNo, ok = g.plans[e.Plan]; k == nil || !ok {
-		g.do(Refuse{ID: e.ID, Reason: ReasonUnknown})
+		g.emit(Refuse{ID: e.ID, Reason: ReasonUnknown})
 		return
 	}
-	r := &request{Request: e, class: k, units: max(0, e.Units), until: e.Deadline}
+	r := &request{Request: e, class: k, units: max(0, e.Units), cutoff: e.Deadline}
+	// An answer after the target latency earns nothing, so the request ends with it.
 	if k.LateWorth == 0 && !k.Stream && k.AimStretch == 0 {
-		r.until = min(e.Deadline, g.now+max(0, k.Aim-aimMargin))
+		r.cutoff = min(e.Deadline, g.now+max(0, k.Aim-targetMargin))
 	}
-	c := g.customer(shortKey(e.Customer), planNo)
-	g.replan(c, planNo)
+	c := g.customer(hashKey(e.Customer), planNo)
+	g.setPlan(c, planNo)
 	if e.Spread > 0 && e.Spread <= g.cfg.Gateways && (c.spread != e.Spread || c.first != e.First) {
 		c.first, c.spread = e.First%g.cfg.Gateways, e.Spread
-		c.store = min(c.store, c.plan.CeilingBurst/float64(c.spread))
+		c.ceilingTokens = min(c.ceilingTokens, c.plan.CeilingBurst/float64(c.spread))
 	}
-	r.cust, r.granted, r.reason = c, -1, ReasonQuota
+	r.customer, r.grantedBy, r.reason = c, -1, ReasonQuota
 	g.requests[e.ID] = r
 	switch {
-	case g.mesh:
+	case g.broadcasts:
 		g.decide(r, g.admit(c, r))
-	case c.shut > g.now: // a home is not asked in vain
-		c.asked.add(g.now, r.units)
+	case c.throttledUntil > g.now: // the owner would refuse it again
+		c.demand.add(g.now, r.units)
 		r.reason = ReasonThrottled
 		g.decide(r, false)
-	case g.shed(r):
-		c.asked.add(g.now, r.units)
+	case g.shouldShed(r):
+		c.demand.add(g.now, r.units)
 		r.reason = ReasonShed
 		g.decide(r, false)
 	default:
-		c.asked.add(g.now, r.units)
-		g.askNo = g.askNo%4095 + 1
-		r.no = g.askNo
-		g.ask(r)
+		c.demand.add(g.now, r.units)
+		g.lastQueryNo = g.lastQueryNo%4095 + 1
+		r.queryNo = g.lastQueryNo
+		g.queryOwner(r)
 	}
 }
 
-// decide ends the wait of a request: it is sent on if the quota has room and the servers have.
+// decide sends a request on if the quota has room and the servers can answer it in time, and refuses it
+// otherwise.
 func (g *Gateway) decide(r *request, room bool) {
 	s, cost := (*server)(nil), 0.0
 	if room {
@@ -828,191 +1011,205 @@
 		reason = r.reason
 	case s == nil:
 		reason = ReasonNoServer
-	case cost > shedTo*(r.until-g.now).Seconds():
+	case cost > maxEstimateFraction*(r.cutoff-g.now).Seconds():
 		reason = ReasonNoTime
-	case g.mesh && g.shed(r):
+	case g.broadcasts && g.shouldShed(r):
 		reason = ReasonShed
 	}
 	if reason != "" {
-		r.more = -r.units
-		wait := retryAdvice
+		r.extraUnits = -r.units // none of the units that an owner granted were used
+		retryAfter := defaultRetryAfter
 		if !room {
-			wait = g.roomIn(r.cust, r.units)
+			retryAfter = g.timeUntilRoom(r.customer, r.units)
 		}
-		g.refuse(r.ID, reason, wait)
+		g.refuse(r.ID, reason, retryAfter)
 		g.finish(r)
 		return
 	}
-	r.cust.store -= r.units
-	g.charge(r.cust, r.units)
-	g.budget = min(budgetMost, g.budget+budgetPart)
+	r.customer.ceilingTokens -= r.units
+	g.charge(r.customer, r.units)
+	g.retryBudget = min(maxRetryBudget, g.retryBudget+retryBudgetRatio)
 	g.send(r, s)
 }
 
-// watched is the part of what a rate remembers that falls after the start: rates begin at 0.
-func (g *Gateway) watched() float64 {
-	return 1 - math.Exp(-max(g.now-g.started, time.Second/4).Seconds()/partMemory.Seconds())
+// observedFraction returns the fraction of the memory of a rate that falls after the start. Rates begin at 0,
+// so they are divided by it.
+func (g *Gateway) observedFraction() float64 {
+	return 1 - math.Exp(-max(g.now-g.started, time.Second/4).Seconds()/rateMemory.Seconds())
 }
 
-// pressed is the open work over its cap. By Little's law open work is the answers a second times their time,
-// so a cap at the answers that do come times the time they should take holds the wait down whatever the
-// servers can do, and closes when they jam. A few may always be out, to find out that a jam is over.
-func (g *Gateway) pressed() float64 {
-	n := g.all.serving
-	mine := g.done.get(g.now) / g.watched() * waitPart * g.quickest
-	return max(0, g.all.open-openFree*g.thin()) / max(mine, openLeast*n/float64(g.cfg.Gateways))
+// overload returns the work in flight as a fraction of its cap. By Little's law, work in flight equals the
+// answers a second times the time that they take. The cap is the rate of answers that come times the time
+// that they should take. It limits the wait whatever the servers can do, and it falls when they are
+// overloaded. A few attempts are always allowed, to find out that an overload is over.
+func (g *Gateway) overload() float64 {
+	servers := g.summary.serving
+	limit := g.answerRate.get(g.now) / g.observedFraction() * openWorkFraction * g.shortestTarget
+	return max(0, g.summary.open-sparseOpenAllowance*g.sparseTraffic()) /
+		max(limit, minOpenPerServer*servers/float64(g.cfg.Gateways))
 }
 
-// shed decides whether the wait is too long for what the request is worth.
-func (g *Gateway) shed(r *request) bool {
-	value := r.class.Worth * r.cust.plan.Price * r.units / max(r.class.base, 1e-6)
-	g.value += 0.01 * (value - g.value)
-	f := shedFrom + (1-shedFrom)*min(1, value/max(g.value, 1e-9))
-	return g.pressed() > f || g.rng.Float64() > math.Pow(g.flow, g.thin()*g.thin()*(1+1/f)/2)
+// shouldShed reports whether a request is shed because the expected wait is too long for its value. Requests
+// of at least the usual value per unit of work are shed once the work in flight exceeds its cap. Less
+// valuable ones are shed earlier, the least valuable above shedThreshold of the cap. Where traffic is sparse,
+// requests outside the admission window are shed as well: at random, and the less valuable the more often.
+func (g *Gateway) shouldShed(r *request) bool {
+	value := r.class.Worth * r.customer.plan.Price * r.units / max(r.class.usualTime, 1e-6)
+	g.typicalValue += 0.01 * (value - g.typicalValue)
+	threshold := shedThreshold + (1-shedThreshold)*min(1, value/max(g.typicalValue, 1e-9))
+	return g.overload() > threshold ||
+		g.rng.Float64() > math.Pow(g.admissionWindow, g.sparseTraffic()*g.sparseTraffic()*(1+1/threshold)/2)
 }
 
-func (g *Gateway) refuse(id string, reason Reason, wait time.Duration) {
+// refuse refuses a request, with advice on when to retry if that is allowed.
+func (g *Gateway) refuse(id string, reason Reason, retryAfter time.Duration) {
 	a := Refuse{ID: id, Reason: reason}
 	if g.cfg.Limits.RetryAfter {
-		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, wait)
+		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, retryAfter)
 	}
-	g.do(a)
+	g.emit(a)
 }
 
+// send starts an attempt, and a timer for when it will be overdue.
 func (g *Gateway) send(r *request, s *server) {
-	a := &attempt{server: s, n: len(r.attempts), at: g.now, ran: true}
+	a := &attempt{server: s, index: len(r.attempts), sentAt: g.now, mayHaveRun: true}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	r.cust.open++
-	s.outAvg += 0.05 * (g.load(s) - s.outAvg)
-	s.ripe = false
-	wait := max(overdueMin, time.Duration(overdueX*g.estimate(s, r.class)*float64(time.Second)))
-	s.out++
-	if !g.connected(s) {
-		s.kept = 0
-	}
-	s.kept = max(0, s.kept-1)
-	g.all.open++
-	g.do(Send{r.ID, s.ID, max(r.until-g.now, time.Millisecond), r.repeatBy()})
-	if g.now+wait < r.until {
-		g.wake(r.ID, a.n, g.now+wait)
+	r.inFlight++
+	r.customer.open++
+	s.avgLoad += 0.05 * (g.load(s) - s.avgLoad)
+	s.tokenReady = false
+	overdueAfter := max(minOverdue, time.Duration(overdueFactor*g.estimate(s, r.class)*float64(time.Second)))
+	s.inFlight++
+	if !g.hasIdleConn(s) {
+		s.idleConns = 0
+	}
+	s.idleConns = max(0, s.idleConns-1)
+	g.summary.open++
+	g.emit(Send{r.ID, s.ID, max(r.cutoff-g.now, time.Millisecond), r.repeatDeadline()})
+	if g.now+overdueAfter < r.cutoff {
+		g.setTimer(r.ID, a.index, g.now+overdueAfter)
 	}
 }
 
-// overdue looks at an attempt that should have been answered. If the server has answered others since, the
-// request is merely costly; if it has not, the server may be silent.
-func (g *Gateway) overdue(r *request, a *attempt) {
+// onOverdue handles an attempt that should have been answered by now. If the server has answered others since
+// it was sent, the request is merely costly. Otherwise the server may not be responding.
+func (g *Gateway) onOverdue(r *request, a *attempt) {
 	s := a.server
-	g.saw(s, r.class, g.now-a.at, true, true) // it may still come: no sign of a jam yet
-	if s.lastGood > a.at {
+	// Counted as failed, which does not shrink the admission window: the answer may still come.
+	g.observeOwn(s, r.class, g.now-a.sentAt, true, true)
+	if s.lastAnswer > a.sentAt {
 		return
 	}
-	if r.finished || r.streaming || g.budget < 1 || r.class.Effect == Unsafe {
+	if r.finished || r.streaming || g.retryBudget < 1 || r.class.Effect == Unsafe {
 		return
 	}
 	if !g.cfg.Limits.Parallel {
 		if g.cfg.Limits.Cancel {
-			g.do(Cancel{r.ID, a.n}) // its end, as Cancelled, brings the next attempt
+			g.emit(Cancel{r.ID, a.index}) // the end of the attempt, as Cancelled, triggers the next one
 		}
 		return
 	}
-	g.again(r, s)
+	g.retry(r, s)
 }
 
-// again sends a further attempt if the rules, the budget and the time left allow one.
-func (g *Gateway) again(r *request, last *server) bool {
-	if g.budget < 1 || len(r.attempts) >= g.cfg.Limits.MaxAttempts || (r.out > 0 && !g.cfg.Limits.Parallel) {
+// retry sends a further attempt if the safety rules, the retry budget and the time left allow one.
+func (g *Gateway) retry(r *request, last *server) bool {
+	if g.retryBudget < 1 || len(r.attempts) >= g.cfg.Limits.MaxAttempts ||
+		(r.inFlight > 0 && !g.cfg.Limits.Parallel) {
 		return false
 	}
 	s, cost := g.choose(r, last)
-	if s == nil || cost > (r.until-g.now).Seconds() || (r.out > 0 && s == last) {
+	if s == nil || cost > (r.cutoff-g.now).Seconds() || (r.inFlight > 0 && s == last) {
 		return false
 	}
-	g.budget--
+	g.retryBudget--
 	g.send(r, s)
 	return true
 }
 
-func (g *Gateway) ended(e AttemptEnded) {
+// onAttemptEnded handles the end of an attempt: it makes a further attempt or gives the final answer, unless
+// another attempt is in flight or the request is finished.
+func (g *Gateway) onAttemptEnded(e AttemptEnded) {
 	r, a := g.requests[e.ID], g.attempt(e.ID, e.Attempt)
-	if a == nil || a.over {
+	if a == nil || a.ended {
 		return
 	}
-	a.over = true
-	a.ran = !e.Outcome.NeverRan()
-	r.out--
-	a.server.out--
-	g.all.open--
-	r.cust.open--
-	g.judge(r, a, e)
-	if e.TrueUnits > 0 && g.cfg.SettledLater {
-		g.charge(r.cust, e.TrueUnits-r.units)
-		r.more += e.TrueUnits - r.units
-		r.units = e.TrueUnits
+	a.ended = true
+	a.mayHaveRun = !e.Outcome.NeverRan()
+	r.inFlight--
+	a.server.inFlight--
+	g.summary.open--
+	r.customer.open--
+	g.observeOutcome(r, a, e)
+	if e.ActualUnits > 0 && g.cfg.SettledLater {
+		g.charge(r.customer, e.ActualUnits-r.units)
+		r.extraUnits += e.ActualUnits - r.units
+		r.units = e.ActualUnits
 	}
 	if e.Metered > 0 {
-		g.meter(r.cust, e.Metered)
+		g.observeMeter(r.customer, e.Metered)
 	}
-	if e.Done {
+	if e.RequestDone {
 		g.finish(r)
 	}
 	if r.finished {
 		g.forget(r)
 		return
 	}
-	if e.Outcome == Moot && len(r.attempts) == 1 {
-		g.charge(r.cust, -r.units) // nothing was sent, so the quota took nothing
-		r.cust.store += r.units
-		r.more = -r.units
+	if e.Outcome == NotSent && len(r.attempts) == 1 {
+		g.charge(r.customer, -r.units) // nothing was sent, so no quota was used
+		r.customer.ceilingTokens += r.units
+		r.extraUnits = -r.units
 	}
-	if r.out > 0 || (e.Outcome != Moot && g.again(r, a.server)) {
+	if r.inFlight > 0 || (e.Outcome != NotSent && g.retry(r, a.server)) {
 		return
 	}
 	g.giveUp(r)
 }
 
-// judge takes what an outcome says of its server.
-func (g *Gateway) judge(r *request, a *attempt, e AttemptEnded) {
+// observeOutcome records what the outcome of an attempt says about its server.
+func (g *Gateway) observeOutcome(r *request, a *attempt, e AttemptEnded) {
 	s := a.server
-	if e.Outcome <= Full { // answered: its connection is free again; all other outcomes end it
-		s.kept, s.keptAt = s.kept+1, g.now
+	if e.Outcome <= Full { // the server answered: its connection is idle again; other outcomes close it
+		s.idleConns, s.idleConnsAt = s.idleConns+1, g.now
 	}
 	switch e.Outcome {
 	case OK:
-		s.lastGood = g.now
-		g.done.add(g.now, 1)
+		s.lastAnswer = g.now
+		g.answerRate.add(g.now, 1)
 		s.answers.add(g.now, 1)
-		before := len(s.ghosts)
-		s.ghosts = slices.DeleteFunc(s.ghosts, func(at time.Duration) bool { return at < a.at })
-		g.all.open -= float64(before - len(s.ghosts))
-		g.saw(s, r.class, e.Took, false, false)
+		before := len(s.abandoned)
+		s.abandoned = slices.DeleteFunc(s.abandoned, func(at time.Duration) bool { return at < a.sentAt })
+		g.summary.open -= float64(before - len(s.abandoned))
+		g.observeOwn(s, r.class, e.Elapsed, false, false)
 	case Error:
-		g.saw(s, r.class, e.Took, true, true)
-		s.lastGood = g.now
+		g.observeOwn(s, r.class, e.Elapsed, true, true)
+		s.lastAnswer = g.now
 	case Full:
-		g.saw(s, r.class, e.Took, true, false) // its queue is full: a jam as well
-		s.lastGood = g.now
+		g.observeOwn(s, r.class, e.Elapsed, true, false) // a full queue is a sign of overload as well
+		s.lastAnswer = g.now
 	case NoConnection, Reset:
-		g.saw(s, r.class, e.Took, true, true)
+		g.observeOwn(s, r.class, e.Elapsed, true, true)
 	case TimedOut, Cancelled:
 		if e.Outcome == TimedOut {
-			g.saw(s, r.class, e.Took, true, false)
+			g.observeOwn(s, r.class, e.Elapsed, true, false)
 		}
-		s.ghosts = append(s.ghosts, a.at)
-		g.all.open++
+		s.abandoned = append(s.abandoned, a.sentAt)
+		g.summary.open++
 	}
 }
 
-// ---- Guards of the rules.
+// ---- Safety rules.
 
-// mayRepeatAt guards the rule on effects: whether the server may get the request, given the attempts that
-// may have run.
+// mayRepeatAt guards the rule on effects. It reports whether the request may be sent to the server, given
+// those of its attempts that may have run.
 func (g *Gateway) mayRepeatAt(r *request, s *server) bool {
 	for _, a := range r.attempts {
-		if r.class.Effect == Safe || !a.ran {
+		if r.class.Effect == Safe || !a.mayHaveRun {
 			continue
 		}
-		dropped := r.class.SameGroup(s.Server, a.server.Server) && g.now-a.at < r.class.Window-aimMargin
+		dropped := r.class.SameGroup(s.Server, a.server.Server) &&
+			g.now-a.sentAt < r.class.Window-targetMargin
 		if r.class.Effect == Unsafe || !dropped {
 			return false
 		}
@@ -1020,50 +1217,52 @@
 	return true
 }
 
-// repeatBy is when servers cease to drop a repeat of the request, or 0. A connection may come up after that,
-// though there was time when the server was chosen.
-func (r *request) repeatBy() (by time.Duration) {
+// repeatDeadline returns the time from which servers no longer drop a repeat of the request, or 0 if there is
+// no such limit. A connection may become ready only after that time, although there was enough time when the
+// server was chosen.
+func (r *request) repeatDeadline() (deadline time.Duration) {
 	for _, a := range r.attempts[:len(r.attempts)-1] {
-		end := a.at + r.class.Window - aimMargin
-		if r.class.Effect == Keyed && a.ran && (by == 0 || end < by) {
-			by = end
+		end := a.sentAt + r.class.Window - targetMargin
+		if r.class.Effect == Keyed && a.mayHaveRun && (deadline == 0 || end < deadline) {
+			deadline = end
 		}
 	}
-	return by
+	return deadline
 }
 
-// giveUp gives the final answer: a refusal where that may be promised, else a failure.
+// giveUp gives the final answer after the last attempt: a refusal where it may be promised that trying again
+// does no harm, otherwise a failure.
 func (g *Gateway) giveUp(r *request) {
-	mayRun := func(a *attempt) bool { return a.ran }
-	promise := r.class.Effect == Safe || !slices.ContainsFunc(r.attempts, mayRun) ||
+	mayRun := func(a *attempt) bool { return a.mayHaveRun }
+	refusable := r.class.Effect == Safe || !slices.ContainsFunc(r.attempts, mayRun) ||
 		(r.class.Effect == Keyed && r.class.Group == GroupAll)
-	if promise && r.out == 0 {
-		g.refuse(r.ID, ReasonAttempts, retryAdvice)
+	if refusable && r.inFlight == 0 {
+		g.refuse(r.ID, ReasonAttempts, defaultRetryAfter)
 	} else {
-		g.do(Fail{r.ID, ReasonAttempts})
+		g.emit(Fail{r.ID, ReasonAttempts})
 	}
 	g.finish(r)
 }
 
-// finish ends a request; what is still out is called off.
+// finish ends a request and cancels its attempts that are still in flight.
 func (g *Gateway) finish(r *request) {
 	if r == nil {
 		return
 	}
-	r.finished, r.asking = true, false
-	delete(g.asks, r.no)
+	r.finished, r.awaitingOwner = true, false
+	delete(g.queries, r.queryNo)
 	for _, a := range r.attempts {
-		if !a.over && g.cfg.Limits.Cancel && !r.streaming {
-			g.do(Cancel{r.ID, a.n})
+		if !a.ended && g.cfg.Limits.Cancel && !r.streaming {
+			g.emit(Cancel{r.ID, a.index})
 		}
 	}
 	g.forget(r)
 }
 
-// forget drops a finished request once nothing of it is out.
+// forget drops a finished request once none of its attempts is in flight, and settles it with the owner.
 func (g *Gateway) forget(r *request) {
-	if r.finished && r.out == 0 && g.requests[r.ID] != nil {
-		g.tellEnd(r, r.more)
+	if r.finished && r.inFlight == 0 && g.requests[r.ID] != nil {
+		g.settleWithOwner(r, r.extraUnits)
 		delete(g.requests, r.ID)
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -12,6 +12,8 @@
 
 const ms = time.Millisecond
 
+// testConfig has a class for each effect and group that the tests need, and plans with a large quota, a small quota, a
+// hard ceiling, and a limit on attempts in flight.
 func testConfig() Config {
 	return Config{Gateways: 3, Zone: "a", PeerIntake: 40, MaxUnits: 8, SettledLater: true,
 		Classes: []Class{
@@ -31,15 +33,17 @@
 			FallWindow: time.Second}}
 }
 
-// rig drives a gateway by hand.
-type rig struct {
-	t   *testing.T
-	g   *Gateway
-	now time.Duration
-	n   int
+// harness hands events to one gateway, at times that the test sets.
+type harness struct {
+	t            *testing.T
+	g            *Gateway
+	now          time.Duration
+	requestCount int
 }
 
-func newRig(t *testing.T, edit func(*Config), servers ...Server) *rig {
+// newHarness returns a harness whose gateway has taken a list of servers: the given ones or, without any, two servers
+// in one cell and one in another. edit may change the configuration; it may be nil.
+func newHarness(t *testing.T, edit func(*Config), servers ...Server) *harness {
 	t.Helper()
 	cfg := testConfig()
 	if edit != nil {
@@ -52,22 +56,25 @@
 	if servers == nil {
 		servers = []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a", Cell: 1}}
 	}
-	r := &rig{t: t, g: g, now: time.Hour}
-	r.do(FleetUpdate{Kind: FleetStale, Servers: servers})
-	return r
+	h := &harness{t: t, g: g, now: time.Hour}
+	h.handle(FleetUpdate{Kind: FleetStale, Servers: servers})
+	return h
 }
 
-func (r *rig) do(ev Event) []Action { return r.g.Handle(r.now, ev) }
+// handle hands an event to the gateway and returns its actions.
+func (h *harness) handle(ev Event) []Action { return h.g.Handle(h.now, ev) }
 
-func (r *rig) ask(class, plan, customer string, units float64) (string, []Action) {
-	r.n++
-	id := fmt.Sprint("q", r.n)
-	return id, r.do(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
-		Deadline: r.now + 2*time.Second, Spread: 3})
+// request submits a request with a new ID and returns the ID and the gateway's actions.
+func (h *harness) request(class, plan, customer string, units float64) (string, []Action) {
+	h.requestCount++
+	id := fmt.Sprint("q", h.requestCount)
+	return id, h.handle(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
+		Deadline: h.now + 2*time.Second, Spread: 3})
 }
 
-func find[A Action](acts []Action) (out []A) {
-	for _, a := range acts {
+// actionsOf returns the actions of type A, in order.
+func actionsOf[A Action](actions []Action) (out []A) {
+	for _, a := range actions {
 		if x, ok := a.(A); ok {
 			out = append(out, x)
 		}
@@ -75,82 +82,88 @@
 	return out
 }
 
-// send asks and fails the test unless the request is sent on.
-func (r *rig) send(class, plan string) (string, Send) {
-	r.t.Helper()
-	id, acts := r.ask(class, plan, "c", 1)
-	s := find[Send](acts)
-	if len(s) != 1 {
-		r.t.Fatalf("%s on %s: got %#v, want one Send", class, plan, acts)
+// mustSend submits a request and fails the test unless the gateway sends it to one server.
+func (h *harness) mustSend(class, plan string) (string, Send) {
+	h.t.Helper()
+	id, actions := h.request(class, plan, "c", 1)
+	sends := actionsOf[Send](actions)
+	if len(sends) != 1 {
+		h.t.Fatalf("%s on %s: got %#v, want one Send", class, plan, actions)
 	}
-	return id, s[0]
+	return id, sends[0]
 }
 
-// serve asks, answers at once if the request is sent on, and tells whether it was.
-func (r *rig) serve(class, plan, customer string, units float64) bool {
-	id, acts := r.ask(class, plan, customer, units)
-	s := find[Send](acts)
-	if len(s) == 1 {
-		r.end(id, 0, s[0].Server, OK)
+// serve submits a request, answers it at once if the gateway sends it, and reports whether the gateway did.
+func (h *harness) serve(class, plan, customer string, units float64) bool {
+	id, actions := h.request(class, plan, customer, units)
+	sends := actionsOf[Send](actions)
+	if len(sends) == 1 {
+		h.endAttempt(id, 0, sends[0].Server, OK)
 	}
-	return len(s) == 1
+	return len(sends) == 1
 }
 
-func (r *rig) end(id string, n int, server string, o Outcome) []Action {
-	return r.do(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Took: 20 * ms, Done: o == OK})
+// endAttempt reports the end of an attempt. After the outcome OK the request is done.
+func (h *harness) endAttempt(id string, number int, server string, outcome Outcome) []Action {
+	return h.handle(AttemptEnded{ID: id, Attempt: number, Server: server, Outcome: outcome, Elapsed: 20 * ms,
+		RequestDone: outcome == OK})
 }
 
-func TestBucket(t *testing.T) {
-	r := newRig(t, nil)
+// A gateway must not admit more at once than its share of the token bucket, right after its start and later.
+func TestBurstBeyondQuota(t *testing.T) {
+	h := newHarness(t, nil)
 	admitted := 0
 	for i := 0; i < 20; i++ {
-		if r.serve("get", "small", "x", 1) {
+		if h.serve("get", "small", "x", 1) {
 			admitted++
 		}
 	}
-	// A third of the mark of 12, of which half counts as used after a start; a request may fill a third of its
-	// own units over it.
+	// The share is a third of the high-water mark of 12, and half of that counts as used after a start. A third of
+	// the request's own units has to fit below the share's mark.
 	if admitted < 1 || admitted > 3 {
-		t.Errorf("admitted %d at once after a start, want 1 to 3", admitted)
+		t.Errorf("admitted %d requests at once after a start, want 1 to 3", admitted)
 	}
-	r.now += 10 * time.Second
+	h.now += 10 * time.Second
 	later := 0
 	for i := 0; i < 20; i++ {
-		if r.serve("get", "small", "x", 1) {
+		if h.serve("get", "small", "x", 1) {
 			later++
 		}
 	}
 	if later <= admitted || later > 5 {
-		t.Errorf("admitted %d at once after a rest, want %d to 5", later, admitted+1)
+		t.Errorf("admitted %d requests at once after 10 s without any, want %d to 5", later, admitted+1)
 	}
 }
 
-func TestSettlement(t *testing.T) {
-	r := newRig(t, nil)
-	id, s := r.send("get", "wide")
-	c := r.g.customers[shortKey("c")]
-	before := c.level
-	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: ms, Done: true, TrueUnits: 6})
-	if got := c.level - before; got != 5 {
-		t.Errorf("settling 1 unit to 6 moved the level by %v, want 5", got)
+// The quota must be charged with the true units once they are known, with nothing for an attempt that was never sent,
+// and in full for one that failed.
+func TestSettlementMischargesQuota(t *testing.T) {
+	h := newHarness(t, nil)
+	id, s := h.mustSend("get", "wide")
+	c := h.g.customers[hashKey("c")]
+	before := c.bucketLevel
+	h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Elapsed: ms, RequestDone: true, ActualUnits: 6})
+	if got := c.bucketLevel - before; got != 5 {
+		t.Errorf("settling a request of 1 unit at 6 units raised the level by %v, want 5", got)
 	}
-	id, s = r.send("get", "wide")
-	before = c.level
-	r.end(id, 0, s.Server, Moot)
-	if got := before - c.level; got != 1 {
-		t.Errorf("a moot send gave back %v, want 1", got)
+	id, s = h.mustSend("get", "wide")
+	before = c.bucketLevel
+	h.endAttempt(id, 0, s.Server, NotSent)
+	if got := before - c.bucketLevel; got != 1 {
+		t.Errorf("a moot attempt lowered the level by %v, want 1", got)
 	}
-	id, _ = r.send("pay", "wide")
-	before = c.level
-	r.end(id, 0, "s1", Error)
-	if c.level != before {
-		t.Errorf("a failed send moved the level from %v to %v, want it kept", before, c.level)
+	id, _ = h.mustSend("pay", "wide")
+	before = c.bucketLevel
+	h.endAttempt(id, 0, "s1", Error)
+	if c.bucketLevel != before {
+		t.Errorf("a failed attempt moved the level from %v to %v, want no change", before, c.bucketLevel)
 	}
 }
 
-func entry(key string, plan, used, asked, level int) string {
+// testEntry encodes the usage of one customer for a broadcast message. The level is in digits of a message.
+func testEntry(key string, plan, used, asked, level int) string {
 	var b strings.Builder
-	encode(&b, shortKey(key), 6)
+	encode(&b, hashKey(key), 6)
 	encode(&b, uint64(plan), 1)
 	encode(&b, uint64(used), 2)
 	encode(&b, uint64(asked), 2)
@@ -158,7 +171,8 @@
 	return b.String()
 }
 
-func message(epoch, seq int, entries ...string) string {
+// testMessage encodes a broadcast message with entries from testEntry.
+func testMessage(epoch, seq int, entries ...string) string {
 	var b strings.Builder
 	b.WriteString(msgVersion)
 	encode(&b, uint64(epoch), 2)
@@ -166,145 +180,156 @@
 	return b.String() + strings.Join(entries, "")
 }
 
-func TestPartFollowsDemand(t *testing.T) {
-	r := newRig(t, nil)
-	r.ask("get", "wide", "x", 100)
-	c := r.g.customers[shortKey("x")]
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 1)})
-	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 0, 900, 0))})
-	r.g.leak(c)
-	if math.Abs(c.part-1.0/3) > 1e-9 {
-		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.part)
-	}
-	r.ask("get", "wide", "x", 2700)
-	r.g.leak(c)
-	if c.part < 0.65 || c.part > 0.8 {
-		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.part)
-	}
-	r.now += 2 * time.Second
-	r.do(TimerFired{beatToken})
-	r.g.leak(c)
-	if c.part != 1.0/3 {
-		t.Errorf("part is %v with silent peers, want the even slice", c.part)
-	}
-}
-
-func TestToldUseSettlesTheLevel(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 1, 0, 0, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 1)})
-	_, acts := r.ask("get", "small", "x", 1)
-	if len(find[Send](acts)) != 1 {
-		t.Fatalf("refused though all peers told that nothing was used: %#v", acts)
-	}
-	r.now += 100 * ms
-	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 1, 12, 12, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 2)})
-	if _, acts = r.ask("get", "small", "x", 1); len(find[Send](acts)) != 0 {
-		t.Errorf("sent on though a peer told that the whole burst is used")
-	}
-	r.now += 2 * time.Second // the peers have fallen silent; their told use leaks away
-	if _, acts = r.ask("get", "small", "x", 1); len(find[Send](acts)) != 1 {
-		t.Errorf("refused after two seconds of leaking: %#v", acts)
-	}
-}
-
-func TestPeerMessagesDoNoHarm(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))})
-	r.do(PeerMessage{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))})
-	c := r.g.customers[shortKey("x")]
+// A gateway's share of a quota has to follow its part of the demand. It must not fall below the even share, and has to
+// return to it when the peers are silent.
+func TestQuotaShareIgnoresDemand(t *testing.T) {
+	h := newHarness(t, nil)
+	h.request("get", "wide", "x", 100)
+	c := h.g.customers[hashKey("x")]
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 1, testEntry("x", 0, 0, 0, 0))})
+	h.handle(PeerMessage{From: 2, Text: testMessage(1, 1)})
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 2, testEntry("x", 0, 0, 900, 0))})
+	h.g.updateQuota(c)
+	if math.Abs(c.share-1.0/3) > 1e-9 {
+		t.Errorf("share is %v at a tenth of the demand, want the even share as the minimum", c.share)
+	}
+	h.request("get", "wide", "x", 2700)
+	h.g.updateQuota(c)
+	if c.share < 0.65 || c.share > 0.8 {
+		t.Errorf("share is %v at three quarters of the demand, want about 0.73", c.share)
+	}
+	h.now += 2 * time.Second
+	h.handle(TimerFired{heartbeatToken})
+	h.g.updateQuota(c)
+	if c.share != 1.0/3 {
+		t.Errorf("share is %v while the peers are silent, want the even share", c.share)
+	}
+}
+
+// Usage that peers report must count against the quota here, and must leak away over time.
+func TestPeerUsageNotCharged(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 1, testEntry("x", 1, 0, 0, 0))})
+	h.handle(PeerMessage{From: 2, Text: testMessage(1, 1)})
+	_, actions := h.request("get", "small", "x", 1)
+	if len(actionsOf[Send](actions)) != 1 {
+		t.Fatalf("refused although all peers reported no usage: %#v", actions)
+	}
+	h.now += 100 * ms
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 2, testEntry("x", 1, 12, 12, 0))})
+	h.handle(PeerMessage{From: 2, Text: testMessage(1, 2)})
+	if _, actions = h.request("get", "small", "x", 1); len(actionsOf[Send](actions)) != 0 {
+		t.Errorf("sent although a peer reported that the whole burst is used")
+	}
+	h.now += 2 * time.Second // the peers are silent now, and the usage that they reported leaks away
+	if _, actions = h.request("get", "small", "x", 1); len(actionsOf[Send](actions)) != 1 {
+		t.Errorf("refused after two seconds of leaking: %#v", actions)
+	}
+}
+
+// Messages that are duplicate, out of order, malformed or from an impossible sender must not change the usage. The
+// totals of a restarted peer must be counted in full.
+func TestBadPeerMessageChangesUsage(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 5, testEntry("x", 1, 0, 0, 0))})
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 6, testEntry("x", 1, 4, 4, 0))})
+	c := h.g.customers[hashKey("x")]
 	for _, e := range []PeerMessage{
-		{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))},  // again
-		{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))},  // late
-		{From: 0, Text: message(1, 9, entry("x", 1, 9, 9, 0))},  // own rank
-		{From: 9, Text: message(1, 9, entry("x", 1, 9, 9, 0))},  // no such gateway
-		{From: -1, Text: message(1, 9, entry("x", 1, 9, 9, 0))}, // nor this
-		{From: 1, Text: "Z" + message(1, 9, entry("x", 1, 9, 9, 0))[1:]},
-		{From: 1, Text: message(1, 9, entry("x", 1, 9, 9, 0)) + "!"},
-		{From: 1, Text: message(1, 9) + "!!!!!!!!!!!!"},
+		{From: 1, Text: testMessage(1, 6, testEntry("x", 1, 4, 4, 0))},  // duplicate
+		{From: 1, Text: testMessage(1, 5, testEntry("x", 1, 0, 0, 0))},  // out of order
+		{From: 0, Text: testMessage(1, 9, testEntry("x", 1, 9, 9, 0))},  // the gateway's own rank
+		{From: 9, Text: testMessage(1, 9, testEntry("x", 1, 9, 9, 0))},  // no such gateway
+		{From: -1, Text: testMessage(1, 9, testEntry("x", 1, 9, 9, 0))}, // negative rank
+		{From: 1, Text: "Z" + testMessage(1, 9, testEntry("x", 1, 9, 9, 0))[1:]},
+		{From: 1, Text: testMessage(1, 9, testEntry("x", 1, 9, 9, 0)) + "!"},
+		{From: 1, Text: testMessage(1, 9) + "!!!!!!!!!!!!"},
 		{From: 1, Text: ""},
 	} {
-		r.do(e)
-		if c.whole != 4 {
-			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.whole)
+		h.handle(e)
+		if c.sharedLevel != 4 {
+			t.Fatalf("after %#v the shared level is %v, want 4", e, c.sharedLevel)
 		}
 	}
-	r.do(PeerMessage{From: 1, Text: message(1, 7, entry("y", 60, 9, 9, 0))}) // plan unknown here
-	// A new life of the peer counts from 0 again, and all that it used since is news.
-	r.do(PeerMessage{From: 1, Text: message(2, 1, entry("x", 1, 3, 3, 0))})
-	if c.whole != 7 {
-		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.whole)
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 7, testEntry("y", 60, 9, 9, 0))}) // unknown plan
+	// A restarted peer counts from 0 again, so nothing of its totals has been counted yet.
+	h.handle(PeerMessage{From: 1, Text: testMessage(2, 1, testEntry("x", 1, 3, 3, 0))})
+	if c.sharedLevel != 7 {
+		t.Errorf("after the peer's restart the shared level is %v, want 7", c.sharedLevel)
 	}
 }
 
-func TestRestartLearnsWhatPeersKnow(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 40, entry("x", 1, 700, 800, 30))})
-	r.do(PeerMessage{From: 2, Text: message(3, 50)})
-	if _, acts := r.ask("get", "small", "x", 1); len(find[Send](acts)) != 0 {
-		t.Error("a restarted gateway sent on though its peers told that the burst is used up")
+// A restarted gateway must take from its peers how much of a quota is used.
+func TestRestartForgetsUsageKnownToPeers(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 40, testEntry("x", 1, 700, 800, 30))})
+	h.handle(PeerMessage{From: 2, Text: testMessage(3, 50)})
+	if _, actions := h.request("get", "small", "x", 1); len(actionsOf[Send](actions)) != 0 {
+		t.Error("a restarted gateway sent a request although its peers reported that the burst is used up")
 	}
 }
 
-func TestMessagesAreSmall(t *testing.T) {
-	r := newRig(t, nil)
+// Messages to peers must stay within maxMessage bytes, and together they must report every customer once.
+func TestOversizedPeerMessage(t *testing.T) {
+	h := newHarness(t, nil)
 	for i := 0; i < 100; i++ {
-		r.serve("get", "wide", fmt.Sprint("c", i), 1)
+		h.serve("get", "wide", fmt.Sprint("c", i), 1)
 	}
-	told := map[int]int{}
+	reported := map[int]int{}
 	for i := 0; i < 20; i++ {
-		r.now += 200 * ms
-		for _, m := range find[Tell](r.do(TimerFired{beatToken})) {
-			if len(m.Text) > maxMessage {
-				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), maxMessage)
+		h.now += 200 * ms
+		for _, m := range actionsOf[SendToPeer](h.handle(TimerFired{heartbeatToken})) {
+			if len(m.Text) > maxMessageLen {
+				t.Fatalf("got a message of %d bytes, want %d at most", len(m.Text), maxMessageLen)
 			}
-			told[m.To] += (len(m.Text) - msgHead) / msgEntry
+			reported[m.To] += (len(m.Text) - msgHeaderLen) / msgEntryLen
 		}
 	}
-	if told[1] != 100 || told[2] != 100 || told[0] != 0 {
-		t.Errorf("told of %v customers by gateway, want 100 each for 1 and 2", told)
+	if reported[1] != 100 || reported[2] != 100 || reported[0] != 0 {
+		t.Errorf("customers reported, by receiving gateway: %v, want 100 each for 1 and 2", reported)
 	}
 }
 
-func TestOpenCap(t *testing.T) {
-	r := newRig(t, nil)
-	r.send("get", "open")
-	if _, acts := r.ask("get", "open", "c", 1); len(find[Refuse](acts)) != 1 {
-		t.Errorf("a second attempt out with a third of 3: got %#v, want Refuse", acts)
+// The limit on attempts in flight must hold, and the end of an attempt must free its slot.
+func TestOpenAttemptCapExceeded(t *testing.T) {
+	h := newHarness(t, nil)
+	h.mustSend("get", "open")
+	if _, actions := h.request("get", "open", "c", 1); len(actionsOf[Refuse](actions)) != 1 {
+		t.Errorf("a second attempt in flight at a third of a limit of 3: got %#v, want Refuse", actions)
 	}
-	r.end("q1", 0, "s1", OK)
-	r.send("get", "open")
+	h.endAttempt("q1", 0, "s1", OK)
+	h.mustSend("get", "open")
 }
 
-func TestCeiling(t *testing.T) {
-	r := newRig(t, nil)
-	if _, acts := r.ask("get", "hard", "x", 8); len(find[Send](acts)) != 0 {
-		t.Fatal("sent on from the ceiling's store at the start, when it must count as empty")
+// A gateway must never send more than its part of the hard ceiling, which has no tokens at the start.
+func TestHardCeilingExceeded(t *testing.T) {
+	h := newHarness(t, nil)
+	if _, actions := h.request("get", "hard", "x", 8); len(actionsOf[Send](actions)) != 0 {
+		t.Fatal("sent at the start, when the ceiling must count as having no tokens")
 	}
-	sent, start := 0.0, r.now
-	for ; r.now < start+20*time.Second; r.now += 50 * ms {
-		id, acts := r.ask("get", "hard", "x", 4)
-		if s := find[Send](acts); len(s) == 1 {
+	sent, start := 0.0, h.now
+	for ; h.now < start+20*time.Second; h.now += 50 * ms {
+		id, actions := h.request("get", "hard", "x", 4)
+		if s := actionsOf[Send](actions); len(s) == 1 {
 			sent += 4
-			r.end(id, 0, s[0].Server, OK)
+			h.endAttempt(id, 0, s[0].Server, OK)
 		}
-		if most := 10*(r.now-start).Seconds() + 2; sent > most+1e-6 {
-			t.Fatalf("passed on %v by %v, want a third of the ceiling: %v", sent, r.now-start, most)
+		if limit := 10*(h.now-start).Seconds() + 2; sent > limit+1e-6 {
+			t.Fatalf("sent %v units within %v, want a third of the ceiling at most: %v", sent, h.now-start, limit)
 		}
 	}
 	if sent < 100 {
-		t.Errorf("passed on %v in 20 s, want over 100", sent)
+		t.Errorf("sent %v units in 20 s, want 100 or more", sent)
 	}
 }
 
-func TestEffects(t *testing.T) {
+// A request whose attempt may have run must be neither repeated nor refused unless the effect of its class allows that.
+// A refusal promises the client that trying again does no harm.
+func TestRetryOrRefusalBreaksEffectRules(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		outcome Outcome
 		again   bool // a further attempt is allowed
-		refuse  bool // else: a refusal is allowed
+		refuse  bool // when no further attempt is made, a refusal is allowed
 	}{
 		{"get", Error, true, true}, {"get", TimedOut, true, true}, {"get", Full, true, true},
 		{"put", Error, true, false}, {"put", Full, true, true}, {"put", Reset, true, false},
@@ -312,262 +337,271 @@
 		{"pay", Error, false, false}, {"pay", TimedOut, false, false}, {"pay", Reset, false, false},
 		{"pay", Cancelled, false, false}, {"pay", Full, true, true}, {"pay", NoConnection, true, true},
 	} {
-		r := newRig(t, nil)
-		id, s := r.send(c.class, "wide")
-		acts := r.end(id, 0, s.Server, c.outcome)
-		more := find[Send](acts)
-		if (len(more) == 1) != c.again {
-			t.Errorf("%s after %v: got %#v, want again=%v", c.class, c.outcome, acts, c.again)
+		h := newHarness(t, nil)
+		id, s := h.mustSend(c.class, "wide")
+		actions := h.endAttempt(id, 0, s.Server, c.outcome)
+		further := actionsOf[Send](actions)
+		if (len(further) == 1) != c.again {
+			t.Errorf("%s after %v: got %#v, want a further attempt: %v", c.class, c.outcome, actions, c.again)
 		}
-		if len(more) == 1 && c.class == "put" && !c.outcome.NeverRan() && (more[0].Server == "s3") != (s.Server == "s3") {
-			t.Errorf("%s after %v: sent to %s after %s, another cell", c.class, c.outcome, more[0].Server, s.Server)
+		if len(further) == 1 && c.class == "put" && !c.outcome.NeverRan() &&
+			(further[0].Server == "s3") != (s.Server == "s3") {
+			t.Errorf("%s after %v: repeated at %s after %s, which is in another cell", c.class, c.outcome,
+				further[0].Server, s.Server)
 		}
-		r.g.budget = 0 // no further attempts: the final answer
-		for i := 1; len(more) == 1; i++ {
-			acts = r.end(id, i, more[0].Server, c.outcome)
-			more = find[Send](acts)
+		h.g.retryBudget = 0 // an empty retry budget forces the final answer
+		for i := 1; len(further) == 1; i++ {
+			actions = h.endAttempt(id, i, further[0].Server, c.outcome)
+			further = actionsOf[Send](actions)
 		}
-		if len(find[Refuse](acts)) != b2i(c.refuse) || len(find[Fail](acts)) != b2i(!c.refuse) {
-			t.Errorf("%s after %v: final %#v, want refuse=%v", c.class, c.outcome, acts, c.refuse)
+		if len(actionsOf[Refuse](actions)) != boolToInt(c.refuse) ||
+			len(actionsOf[Fail](actions)) != boolToInt(!c.refuse) {
+			t.Errorf("%s after %v: final answer %#v, want a refusal: %v", c.class, c.outcome, actions, c.refuse)
 		}
 	}
 }
 
-func TestKeyedWindow(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Classes[2].Aim, c.Classes[2].Window = 3*time.Second, time.Second })
-	id, s := r.send("putall", "wide")
-	r.now += 1100 * ms
-	if acts := r.end(id, 0, s.Server, Error); len(find[Send](acts)) != 0 {
-		t.Errorf("sent again after the window: %#v", acts)
+// Servers drop repeats of a keyed request only within its window, so none may be sent later.
+func TestKeyedRetryAfterWindow(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.Classes[2].Aim, c.Classes[2].Window = 3*time.Second, time.Second })
+	id, s := h.mustSend("putall", "wide")
+	h.now += 1100 * ms
+	if actions := h.endAttempt(id, 0, s.Server, Error); len(actionsOf[Send](actions)) != 0 {
+		t.Errorf("repeated after the window in which servers drop repeats: %#v", actions)
 	}
 }
 
-// TestRepeatIsSentInTime: the host is told until when a repeat may be written, as a connection may come up late; what
-// may not be dropped as a repeat, or can do no harm, has no such limit.
-func TestRepeatIsSentInTime(t *testing.T) {
+// A connection may come up late, when servers have ceased to drop a repeat of a keyed request. So the gateway tells its
+// host until when a repeat may be written. First attempts and requests that are safe to repeat have no such limit.
+func TestRepeatWrittenAfterWindow(t *testing.T) {
 	for class, limited := range map[string]bool{"putall": true, "put": true, "get": false} {
-		r := newRig(t, func(c *Config) { c.Limits.Parallel = true })
-		first := r.now
-		id, s := r.send(class, "wide")
-		if s.Before != 0 {
-			t.Errorf("%s: the first attempt is limited to %v", class, s.Before)
-		}
-		r.now += 500 * ms
-		again := find[Send](r.end(id, 0, s.Server, Error))
+		h := newHarness(t, func(c *Config) { c.Limits.Parallel = true })
+		first := h.now
+		id, s := h.mustSend(class, "wide")
+		if s.WriteBefore != 0 {
+			t.Errorf("%s: the first attempt must be written before %v, want no limit", class, s.WriteBefore)
+		}
+		h.now += 500 * ms
+		repeats := actionsOf[Send](h.endAttempt(id, 0, s.Server, Error))
 		want := time.Duration(0)
 		if limited {
-			want = first + 2*time.Second - aimMargin
+			want = first + 2*time.Second - targetMargin
 		}
-		if len(again) != 1 || again[0].Before != want {
-			t.Errorf("%s: sent again as %+v, want it limited to %v", class, again, want)
+		if len(repeats) != 1 || repeats[0].WriteBefore != want {
+			t.Errorf("%s: repeated as %+v, want it to be written before %v", class, repeats, want)
 		}
 	}
 }
 
-// TestNothingIsSentForAClientThatLeft: whatever comes later, a request whose client left while it waited for a home's
-// word, an attempt's end or an overdue one goes nowhere.
-func TestNothingIsSentForAClientThatLeft(t *testing.T) {
+// A client leaves while its request waits for the quota owner's response, for the end of an attempt or for the timer of
+// an overdue attempt. Whatever event follows, the gateway must not send the request again.
+func TestRequestSentAfterClientLeft(t *testing.T) {
 	for name, edit := range map[string]func(*Config){
-		"an attempt": func(c *Config) { c.Limits.Parallel = true },
-		"no cancel":  func(c *Config) { c.Limits.Parallel, c.Limits.Cancel = true, false },
-		"a home":     func(c *Config) { c.Gateways, c.Rank = 300, 4 },
+		"attempt in flight":                         func(c *Config) { c.Limits.Parallel = true },
+		"attempt in flight, cancelling not allowed": func(c *Config) { c.Limits.Parallel, c.Limits.Cancel = true, false },
+		"owner query":                               func(c *Config) { c.Gateways, c.Rank = 300, 4 },
 	} {
-		r := newRig(t, edit)
-		id, acts := r.ask("get", "wide", "x", 1)
-		sent, told := find[Send](acts), find[Tell](acts)
-		r.do(ClientGone{id})
+		h := newHarness(t, edit)
+		id, actions := h.request("get", "wide", "x", 1)
+		sent, queries := actionsOf[Send](actions), actionsOf[SendToPeer](actions)
+		h.handle(ClientGone{id})
 		var later []Action
 		for _, a := range sent {
-			later = append(later, r.end(id, 0, a.Server, NoConnection)...)
+			later = append(later, h.endAttempt(id, 0, a.Server, NoConnection)...)
 		}
-		for _, a := range told {
-			w, ok := parseWord(a.Text)
+		for _, a := range queries {
+			response, ok := parseOwnerMessage(a.Text)
 			if !ok {
-				t.Fatalf("%s: told %q", name, a.Text)
+				t.Fatalf("%s: malformed owner query %q", name, a.Text)
 			}
-			w.kind, w.n, w.v = 'r', 4, [4]float64{1}
-			later = append(later, r.do(PeerMessage{From: a.To, Text: w.text()})...)
+			response.kind, response.valueCount, response.values = 'r', 4, [4]float64{1}
+			later = append(later, h.handle(PeerMessage{From: a.To, Text: response.text()})...)
 		}
-		if len(sent)+len(told) == 0 {
-			t.Errorf("%s: nothing was waited for: %#v", name, acts)
+		if len(sent)+len(queries) == 0 {
+			t.Errorf("%s: the request waits for nothing: %#v", name, actions)
 		}
-		for _, a := range find[SetTimer](acts) {
-			r.now = max(r.now, a.At)
-			later = append(later, r.do(TimerFired{a.Token})...)
+		for _, a := range actionsOf[SetTimer](actions) {
+			h.now = max(h.now, a.At)
+			later = append(later, h.handle(TimerFired{a.Token})...)
 		}
-		later = append(later, r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s4", Zone: "a"}}})...)
-		if s := find[Send](later); len(s) > 0 {
-			t.Errorf("%s: sent on after its client left: %#v", name, s)
+		later = append(later, h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s4", Zone: "a"}}})...)
+		if sends := actionsOf[Send](later); len(sends) > 0 {
+			t.Errorf("%s: sent after its client left: %#v", name, sends)
 		}
 	}
 }
 
-func TestNoServer(t *testing.T) {
-	r := newRig(t, nil, []Server{}...)
-	r.do(FleetUpdate{Kind: FleetFull})
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Refuse](acts)) != 1 {
-		t.Errorf("without servers: got %#v, want Refuse", acts)
+func TestNoAnswerWithoutServers(t *testing.T) {
+	h := newHarness(t, nil, []Server{}...)
+	h.handle(FleetUpdate{Kind: FleetFull})
+	if _, actions := h.request("get", "wide", "c", 1); len(actionsOf[Refuse](actions)) != 1 {
+		t.Errorf("without servers: got %#v, want Refuse", actions)
 	}
 }
 
-func TestDrains(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", State: Draining}}})
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s2", State: Gone}}})
+// Draining and removed servers must not get requests, and a failed list call must not drop the list.
+func TestRequestSentToDrainingServer(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", State: Draining}}})
+	h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s2", State: Removed}}})
 	for i := 0; i < 8; i++ {
-		if _, s := r.send("get", "wide"); s.Server != "s3" {
+		if _, s := h.mustSend("get", "wide"); s.Server != "s3" {
 			t.Fatalf("sent to %s, want s3", s.Server)
 		}
-		r.end(fmt.Sprint("q", r.n), 0, "s3", OK)
+		h.endAttempt(fmt.Sprint("q", h.requestCount), 0, "s3", OK)
 	}
-	r.do(FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "s2"}}})
-	if _, s := r.send("get", "wide"); s.Server != "s2" {
-		t.Errorf("sent to %s, which a full list left out, want s2", s.Server)
+	h.handle(FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "s2"}}})
+	if _, s := h.mustSend("get", "wide"); s.Server != "s2" {
+		t.Errorf("sent to %s, which is not in the full list, want s2", s.Server)
 	}
-	r.do(FleetUpdate{Kind: FleetFailed})
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Send](acts)) != 1 {
-		t.Errorf("a failed list call lost the former list: %#v", acts)
+	h.handle(FleetUpdate{Kind: FleetFailed})
+	if _, actions := h.request("get", "wide", "c", 1); len(actionsOf[Send](actions)) != 1 {
+		t.Errorf("not sent after a failed list call, which must not drop the former list: %#v", actions)
 	}
 }
 
-func TestSlowStart(t *testing.T) {
-	r := newRig(t, nil)
+// A server in slow start must not get more than its part of the traffic, and has to get a usual part afterwards.
+func TestColdServerOverloaded(t *testing.T) {
+	h := newHarness(t, nil)
 	run := func(d time.Duration) map[string]int {
-		n := map[string]int{}
-		for end := r.now + d; r.now < end; r.now += 20 * ms {
-			id, s := r.send("get", "wide")
-			n[s.Server]++
-			r.now += 5 * ms
-			r.end(id, 0, s.Server, OK)
+		counts := map[string]int{}
+		for end := h.now + d; h.now < end; h.now += 20 * ms {
+			id, s := h.mustSend("get", "wide")
+			counts[s.Server]++
+			h.now += 5 * ms
+			h.endAttempt(id, 0, s.Server, OK)
 		}
-		return n
+		return counts
 	}
 	run(10 * time.Second)
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - ms}}})
-	n := run(time.Second)
-	warm := float64(n["s2"]+n["s3"]) / 2
-	if most := coldMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
-		t.Errorf("cold server got %d in its first second, want %v at most", n["s1"], most)
+	h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: h.now - ms}}})
+	counts := run(time.Second)
+	warm := float64(counts["s2"]+counts["s3"]) / 2
+	if limit := coldBudgetFraction * 2 * 0.3 * warm * 1.2; float64(counts["s1"]) > limit+1 {
+		t.Errorf("the cold server got %d requests in its first second, want %v at most", counts["s1"], limit)
 	}
 	run(10 * time.Second)
-	if n = run(2 * time.Second); n["s1"] < n["s2"]/2 {
-		t.Errorf("warm again, the server gets %d of %v", n["s1"], n)
+	if counts = run(2 * time.Second); counts["s1"] < counts["s2"]/2 {
+		t.Errorf("after its slow start the server gets %d requests; by server: %v", counts["s1"], counts)
 	}
 }
 
+// A server that fails all requests quickly must not attract traffic. When all servers fail alike, none may be left out.
 func TestOutlierEjection(t *testing.T) {
-	r := newRig(t, nil)
-	fails := 0
+	h := newHarness(t, nil)
+	failed := 0
 	for i := 0; i < 200; i++ {
-		id, s := r.send("get", "wide")
-		r.now += 20 * ms
+		id, s := h.mustSend("get", "wide")
+		h.now += 20 * ms
 		if s.Server != "s1" {
-			r.end(id, 0, s.Server, OK)
+			h.endAttempt(id, 0, s.Server, OK)
 			continue
 		}
-		fails++
-		for _, m := range find[Send](r.end(id, 0, "s1", Error)) {
-			r.end(id, 1, m.Server, OK)
+		failed++
+		for _, m := range actionsOf[Send](h.endAttempt(id, 0, "s1", Error)) {
+			h.endAttempt(id, 1, m.Server, OK)
 		}
 	}
-	if fails > 12 {
-		t.Errorf("%d of 200 went to a server that fails all, quickly", fails)
+	if failed > 12 {
+		t.Errorf("%d of 200 requests went to a server that fails all of them quickly", failed)
 	}
-	all := newRig(t, nil)
+	allFail := newHarness(t, nil)
 	for i := 0; i < 100; i++ {
-		id, acts := all.ask("pay", "wide", "c", 1)
-		all.now += 20 * ms
-		if s := find[Send](acts); len(s) == 1 {
-			all.end(id, 0, s[0].Server, Error)
+		id, actions := allFail.request("pay", "wide", "c", 1)
+		allFail.now += 20 * ms
+		if s := actionsOf[Send](actions); len(s) == 1 {
+			allFail.endAttempt(id, 0, s[0].Server, Error)
 		}
 	}
 	got := map[string]bool{}
 	for i := 0; i < 60; i++ {
-		if _, acts := all.ask("pay", "wide", "c", 1); len(find[Send](acts)) == 1 {
-			got[find[Send](acts)[0].Server] = true
-			all.end(fmt.Sprint("q", all.n), 0, find[Send](acts)[0].Server, Error)
+		if _, actions := allFail.request("pay", "wide", "c", 1); len(actionsOf[Send](actions)) == 1 {
+			got[actionsOf[Send](actions)[0].Server] = true
+			allFail.endAttempt(fmt.Sprint("q", allFail.requestCount), 0, actionsOf[Send](actions)[0].Server, Error)
 		}
 	}
 	if len(got) < 3 {
-		t.Errorf("only %v get requests for a fault that all servers share", got)
+		t.Errorf("with a fault that all servers share only %v get requests", got)
 	}
 }
 
-func TestSilentServerIsLeft(t *testing.T) {
-	r := newRig(t, nil)
+// A server that never answers must be found out by its overdue attempts, before their timeouts.
+func TestSilentServerKeepsReceivingRequests(t *testing.T) {
+	h := newHarness(t, nil)
 	lost := 0
 	for i := 0; i < 200; i++ {
-		id, s := r.send("get", "wide")
-		r.now += 30 * ms
+		id, s := h.mustSend("get", "wide")
+		h.now += 30 * ms
 		if s.Server != "s1" {
-			r.end(id, 0, s.Server, OK)
+			h.endAttempt(id, 0, s.Server, OK)
 		} else {
 			lost++
 		}
-		for token, ref := range r.g.timers {
-			if a := r.g.attempt(ref.id, ref.n); a != nil && r.now > a.at+time.Second {
-				r.do(TimerFired{token})
+		for token, ref := range h.g.timers {
+			if a := h.g.attempt(ref.requestID, ref.attempt); a != nil && h.now > a.sentAt+time.Second {
+				h.handle(TimerFired{token})
 			}
 		}
 	}
 	if lost > 40 {
-		t.Errorf("%d of 200 went to a server that never answers", lost)
+		t.Errorf("%d of 200 requests went to a server that never answers", lost)
 	}
 }
 
-func TestSlownessFades(t *testing.T) {
-	r := newRig(t, nil)
-	s := r.g.order[0]
+func TestSlownessNeverFades(t *testing.T) {
+	h := newHarness(t, nil)
+	s := h.g.serverList[0]
 	for i := 0; i < 10; i++ {
-		r.g.saw(s, r.g.classes["get"], 3*time.Second, false, false)
+		h.g.observeOwn(s, h.g.classes["get"], 3*time.Second, false, false)
 	}
-	slow := r.g.slowness(s)
-	r.now += time.Minute
-	r.do(TimerFired{beatToken})
-	if got := r.g.slowness(s); slow < 1.3 || got > 1.1 {
-		t.Errorf("slowness went from %v to %v in a minute without answers, want it to fade to about 1", slow, got)
+	slow := h.g.slowness(s)
+	h.now += time.Minute
+	h.handle(TimerFired{heartbeatToken})
+	if got := h.g.slowness(s); slow < 1.3 || got > 1.1 {
+		t.Errorf("slowness went from %v to %v in a minute without answers, want it to decay to about 1", slow, got)
 	}
 }
 
-func TestGhostsCloseTheCap(t *testing.T) {
-	r := newRig(t, nil)
-	for range int(openFree+openLeast) + 1 { // of three servers and as many gateways
-		id, acts := r.ask("get", "wide", "c", 1)
-		if s := find[Send](acts); len(s) == 1 {
-			r.end(id, 0, s[0].Server, Cancelled)
+// Cancelled attempts must count as load for a while, as servers may still work on them.
+func TestAbandonedAttemptsNotCountedAsLoad(t *testing.T) {
+	h := newHarness(t, nil)
+	for range int(sparseOpenAllowance+minOpenPerServer) + 1 { // one above the limit for three servers and three gateways
+		id, actions := h.request("get", "wide", "c", 1)
+		if s := actionsOf[Send](actions); len(s) == 1 {
+			h.endAttempt(id, 0, s[0].Server, Cancelled)
 		}
 	}
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Refuse](acts)) != 1 {
-		t.Errorf("sent on to servers that still work on what nobody waits for: %#v", acts)
+	if _, actions := h.request("get", "wide", "c", 1); len(actionsOf[Refuse](actions)) != 1 {
+		t.Errorf("sent although the servers are still busy with abandoned attempts: %#v", actions)
 	}
-	r.now += ghostFor + time.Second
-	r.send("get", "wide")
+	h.now += abandonedTTL + time.Second
+	h.mustSend("get", "wide")
 }
 
-func TestBadInput(t *testing.T) {
-	r := newRig(t, nil)
+func TestInvalidEventCausesAction(t *testing.T) {
+	h := newHarness(t, nil)
 	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
-		if acts := r.do(e); len(find[Refuse](acts)) != 1 {
-			t.Errorf("%#v: got %#v, want Refuse", e, acts)
+		if actions := h.handle(e); len(actionsOf[Refuse](actions)) != 1 {
+			t.Errorf("%#v: got %#v, want Refuse", e, actions)
 		}
 	}
 	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OK}, ClientGone{"zz"}, TimerFired{1 << 60},
 		AnswerStarted{ID: "zz"}, ProbeEnded{Server: "zz"}, Counted{Name: 4}, AttemptEnded{ID: "zz", Attempt: -1}} {
-		if acts := r.do(e); len(acts) != 0 {
-			t.Errorf("%#v: got %#v, want nothing", e, acts)
+		if actions := h.handle(e); len(actions) != 0 {
+			t.Errorf("%#v: got %#v, want nothing", e, actions)
 		}
 	}
-	id, s := r.send("get", "wide")
-	r.do(ClientGone{id})
-	if acts := r.end(id, 0, s.Server, TimedOut); len(acts) != 0 {
-		t.Errorf("answered a request whose client is gone: %#v", acts)
+	id, s := h.mustSend("get", "wide")
+	h.handle(ClientGone{id})
+	if actions := h.endAttempt(id, 0, s.Server, TimedOut); len(actions) != 0 {
+		t.Errorf("answered a request whose client has left: %#v", actions)
 	}
-	if acts := r.end(id, 0, s.Server, TimedOut); len(acts) != 0 {
-		t.Errorf("answered an outcome told twice: %#v", acts)
+	if actions := h.endAttempt(id, 0, s.Server, TimedOut); len(actions) != 0 {
+		t.Errorf("acted on an outcome that was reported twice: %#v", actions)
 	}
 }
 
-func TestValidate(t *testing.T) {
+func TestInvalidConfigAccepted(t *testing.T) {
 	for want, edit := range map[string]func(*Config){
 		"Classes is empty":             func(c *Config) { c.Classes = nil },
 		"Rank is 3":                    func(c *Config) { c.Rank = 3 },
@@ -585,34 +619,37 @@
 	}
 }
 
-// TestDeterminism plays the same random events to two gateways, one alone and one beside others.
-func TestDeterminism(t *testing.T) {
-	one := playRandom(t, 3)
-	playRandom(t, 4)
-	if two := playRandom(t, 3); !reflect.DeepEqual(one, two) {
+// Guards against state outside the Gateway: two gateways that get the same random events must take the same actions,
+// although another gateway runs between them.
+func TestSameEventsGiveOtherActions(t *testing.T) {
+	one := runRandomEvents(t, 3)
+	runRandomEvents(t, 4)
+	if two := runRandomEvents(t, 3); !reflect.DeepEqual(one, two) {
 		t.Error("the same events gave other actions")
 	}
 }
 
-// TestRulesUnderRandomEvents checks the five rules over long random legal events.
-func TestRulesUnderRandomEvents(t *testing.T) {
+// Checks five invariants over long sequences of random valid events: the effects of classes, the limits on attempts,
+// draining servers, the hard ceiling, and one final answer in time.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := int64(10); seed < 30; seed++ {
-		playRandom(t, seed)
+		runRandomEvents(t, seed)
 	}
 }
 
-type flight struct {
-	req      Request
-	class    Class
-	attempts []Send
-	at       []time.Duration
-	out      map[int]bool
-	mayRun   map[int]bool
-	done     bool
+// trackedRequest is what runRandomEvents knows of a request. Its attempts are numbered from 0.
+type trackedRequest struct {
+	req        Request
+	class      Class
+	attempts   []Send
+	sentAt     []time.Duration
+	inFlight   map[int]bool
+	mayHaveRun map[int]bool
+	done       bool
 }
 
-// playRandom plays the servers, the clients, the list and a peer at random, and checks each action.
-func playRandom(t *testing.T, seed int64) (log []Action) {
+// runRandomEvents simulates servers, clients, the list of servers and peers at random, and checks each action.
+func runRandomEvents(t *testing.T, seed int64) (log []Action) {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
 	cfg := testConfig()
@@ -622,7 +659,7 @@
 		t.Fatal(err)
 	}
 	now, start := time.Duration(0), time.Duration(0)
-	flights := map[string]*flight{}
+	requests := map[string]*trackedRequest{}
 	var order []string
 	state := map[string]State{}
 	cells := map[string]int{}
@@ -631,74 +668,76 @@
 		s := Server{ID: fmt.Sprint("s", i), Zone: "a", Cell: i % 2}
 		servers, cells[s.ID] = append(servers, s), s.Cell
 	}
-	passed := map[string]float64{}
+	sentUnits := map[string]float64{}
 	var handle func(ev Event)
 	check := func(a Action) {
 		switch a := a.(type) {
 		case Send:
-			f := flights[a.ID]
-			if f == nil || f.done {
+			r := requests[a.ID]
+			if r == nil || r.done {
 				t.Fatalf("seed %d: Send for finished request %s", seed, a.ID)
 			}
 			if state[a.Server] != Serving {
-				t.Fatalf("seed %d: Send to %s, which drains or is gone", seed, a.Server)
+				t.Fatalf("seed %d: Send to %s, which is draining or removed", seed, a.Server)
 			}
-			if len(f.attempts) >= cfg.Limits.MaxAttempts || (!cfg.Limits.Parallel && len(f.out) > 0) {
-				t.Fatalf("seed %d: attempt %d with %d out", seed, len(f.attempts), len(f.out))
+			if len(r.attempts) >= cfg.Limits.MaxAttempts || (!cfg.Limits.Parallel && len(r.inFlight) > 0) {
+				t.Fatalf("seed %d: attempt %d with %d in flight", seed, len(r.attempts), len(r.inFlight))
 			}
-			for n := range f.attempts {
-				if !f.mayRun[n] || f.class.Effect == Safe {
+			for n := range r.attempts {
+				if !r.mayHaveRun[n] || r.class.Effect == Safe {
 					continue
 				}
-				if f.class.Effect == Unsafe || now-f.at[n] > f.class.Window ||
-					(f.class.Group == GroupCell && cells[a.Server] != cells[f.attempts[n].Server]) {
-					t.Fatalf("seed %d: %s sent to %s after attempt %d may have run", seed, f.class.Name, a.Server, n)
+				if r.class.Effect == Unsafe || now-r.sentAt[n] > r.class.Window ||
+					(r.class.Group == GroupCell && cells[a.Server] != cells[r.attempts[n].Server]) {
+					t.Fatalf("seed %d: %s sent to %s after attempt %d may have run", seed, r.class.Name, a.Server, n)
 				}
 			}
-			if len(f.attempts) == 0 && f.req.Plan == "hard" {
-				passed[f.req.Customer] += f.req.Units
-				if most := 10*(now-start).Seconds() + 2; passed[f.req.Customer] > most+1e-6 {
-					t.Fatalf("seed %d: ceiling passed: %v over %v", seed, passed[f.req.Customer], most)
+			if len(r.attempts) == 0 && r.req.Plan == "hard" {
+				sentUnits[r.req.Customer] += r.req.Units
+				if limit := 10*(now-start).Seconds() + 2; sentUnits[r.req.Customer] > limit+1e-6 {
+					t.Fatalf("seed %d: ceiling exceeded: sent %v units, want %v at most", seed,
+						sentUnits[r.req.Customer], limit)
 				}
 			}
-			n := len(f.attempts)
-			f.attempts, f.at = append(f.attempts, a), append(f.at, now)
-			f.out[n], f.mayRun[n] = true, true
+			n := len(r.attempts)
+			r.attempts, r.sentAt = append(r.attempts, a), append(r.sentAt, now)
+			r.inFlight[n], r.mayHaveRun[n] = true, true
 		case Refuse:
-			f := flights[a.ID]
-			if f.done {
+			r := requests[a.ID]
+			if r.done {
 				t.Fatalf("seed %d: second final answer for %s", seed, a.ID)
 			}
-			for n := range f.attempts {
-				if f.mayRun[n] && (f.class.Effect == Unsafe || (f.class.Effect == Keyed && f.class.Group != GroupAll)) {
-					t.Fatalf("seed %d: refused %s after attempt %d may have run", seed, f.class.Name, n)
+			for n := range r.attempts {
+				if r.mayHaveRun[n] && (r.class.Effect == Unsafe ||
+					(r.class.Effect == Keyed && r.class.Group != GroupAll)) {
+					t.Fatalf("seed %d: refused %s after attempt %d may have run", seed, r.class.Name, n)
 				}
 			}
-			f.done = true
+			r.done = true
 		case Fail:
-			if flights[a.ID].done {
+			if requests[a.ID].done {
 				t.Fatalf("seed %d: second final answer for %s", seed, a.ID)
 			}
-			flights[a.ID].done = true
+			requests[a.ID].done = true
 		}
 	}
 	handle = func(ev Event) {
-		acts := g.Handle(now, ev)
-		log = append(log, acts...)
-		for _, a := range acts {
+		actions := g.Handle(now, ev)
+		log = append(log, actions...)
+		for _, a := range actions {
 			check(a)
 		}
 	}
 	handle(FleetUpdate{Kind: FleetStale, Servers: servers})
 	end := func(id string, n int, o Outcome) {
-		f := flights[id]
-		delete(f.out, n)
+		r := requests[id]
+		delete(r.inFlight, n)
 		if o.NeverRan() {
-			f.mayRun[n] = false
+			r.mayHaveRun[n] = false
 		}
-		f.done = f.done || o == OK
-		handle(AttemptEnded{ID: id, Attempt: n, Server: f.attempts[n].Server, Outcome: o, Took: now - f.at[n],
-			Done: f.done, TrueUnits: float64(1 + rnd.Intn(8))})
+		r.done = r.done || o == OK
+		handle(AttemptEnded{ID: id, Attempt: n, Server: r.attempts[n].Server, Outcome: o, Elapsed: now - r.sentAt[n],
+			RequestDone: r.done, ActualUnits: float64(1 + rnd.Intn(8))})
 	}
 	for i := 0; i < 3000; i++ {
 		now += time.Duration(rnd.Intn(20)) * ms
@@ -710,7 +749,7 @@
 				Customer: fmt.Sprint("c", rnd.Intn(6)), Units: float64(1 + rnd.Intn(4)),
 				Deadline: now + time.Duration(500+rnd.Intn(1000))*ms, Spread: 3}
 			q.Customer += q.Plan
-			flights[id] = &flight{req: q, class: c, out: map[int]bool{}, mayRun: map[int]bool{}}
+			requests[id] = &trackedRequest{req: q, class: c, inFlight: map[int]bool{}, mayHaveRun: map[int]bool{}}
 			order = append(order, id)
 			handle(q)
 		case k < 11:
@@ -722,33 +761,34 @@
 			state[s.ID] = s.State
 			handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{*s}})
 		case k < 12:
-			handle(PeerMessage{From: 1 + rnd.Intn(2), Text: message(rnd.Intn(2), rnd.Intn(4096),
-				entry("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
+			handle(PeerMessage{From: 1 + rnd.Intn(2), Text: testMessage(rnd.Intn(2), rnd.Intn(4096),
+				testEntry("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
 		case k < 13:
-			handle(TimerFired{beatToken})
+			handle(TimerFired{heartbeatToken})
 		}
 		for _, id := range order {
-			f := flights[id]
-			for n := 0; n < len(f.attempts); n++ {
-				if !f.out[n] {
+			r := requests[id]
+			for n := 0; n < len(r.attempts); n++ {
+				if !r.inFlight[n] {
 					continue
 				}
-				if now >= f.at[n]+f.attempts[n].Timeout {
+				if now >= r.sentAt[n]+r.attempts[n].Timeout {
 					end(id, n, TimedOut)
 				} else if rnd.Intn(12) == 0 {
 					end(id, n, Outcome(1+rnd.Intn(7)))
 				}
 			}
-			if !f.done && now > f.req.Deadline+cfg.Safety.AnswerSlack+20*ms {
+			if !r.done && now > r.req.Deadline+cfg.Safety.AnswerSlack+20*ms {
 				t.Fatalf("seed %d: no final answer for %s", seed, id)
 			}
 		}
-		order = keep(order, func(id string) bool { return !flights[id].done || len(flights[id].out) > 0 })
+		order = filterIDs(order, func(id string) bool { return !requests[id].done || len(requests[id].inFlight) > 0 })
 	}
 	return log
 }
 
-func keep(ids []string, want func(string) bool) (out []string) {
+// filterIDs returns the ids for which want reports true.
+func filterIDs(ids []string, want func(string) bool) (out []string) {
 	for _, id := range ids {
 		if want(id) {
 			out = append(out, id)
@@ -757,10 +797,11 @@
 	return out
 }
 
-// FuzzPeerMessage feeds the parser of peers' messages; whatever comes must neither panic nor make units negative.
+// FuzzPeerMessage hands arbitrary text to the parser of peer messages. It must not panic, and no shared level may become
+// negative.
 func FuzzPeerMessage(f *testing.F) {
-	f.Add(message(1, 1, entry("x", 1, 5, 5, 5)))
-	f.Add(message(4095, 4095))
+	f.Add(testMessage(1, 1, testEntry("x", 1, 5, 5, 5)))
+	f.Add(testMessage(4095, 4095))
 	f.Add("b")
 	f.Add("a0102zzzz")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -769,158 +810,163 @@
 			t.Fatal(err)
 		}
 		g.Handle(time.Second, PeerMessage{From: 1, Text: text})
-		for _, c := range g.queue {
-			if c.whole < 0 || math.IsNaN(c.whole) {
-				t.Errorf("whole bucket is %v", c.whole)
+		for _, c := range g.evictionQueue {
+			if c.sharedLevel < 0 || math.IsNaN(c.sharedLevel) {
+				t.Errorf("shared level is %v", c.sharedLevel)
 			}
 		}
 	})
 }
 
-func TestMeterDecidesThePartWherePeersAreSilent(t *testing.T) {
+// While the peers are silent, the metered use of the customer decides this gateway's share.
+func TestMeterIgnoredWithoutPeerMessages(t *testing.T) {
 	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
-		r := newRig(t, nil)
-		id, s := r.send("get", "wide")
-		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: ms, Done: true, Metered: metered})
-		c := r.g.customers[shortKey("c")]
-		r.g.charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
-		if r.g.leak(c); math.Abs(c.part-want) > 0.01 {
-			t.Errorf("told %d: part is %v, want %v", metered, c.part, want)
+		h := newHarness(t, nil)
+		id, s := h.mustSend("get", "wide")
+		h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Elapsed: ms, RequestDone: true, Metered: metered})
+		c := h.g.customers[hashKey("c")]
+		h.g.charge(c, 1800) // 900 units a second over the memory of rates, at a quota of 1000
+		if h.g.updateQuota(c); math.Abs(c.share-want) > 0.01 {
+			t.Errorf("metered %d: share is %v, want %v", metered, c.share, want)
 		}
 	}
 }
 
-// A few requests out at one gateway are chance, not a jam: with one or two at each server of all gateways, cheap
-// work must not be shed. Once they stand for a queue at every server it is.
-func TestFewOpenRequestsPressNobody(t *testing.T) {
+// A few requests in flight at one gateway are chance, not overload. With one or two at each server from all gateways
+// together, cheap work must not be shed. Once they amount to a queue at every server, it must be.
+func TestSheddingWithFewOpenRequests(t *testing.T) {
 	var servers []Server
 	for i := range 12 {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
-	r := newRig(t, func(c *Config) {
+	h := newHarness(t, func(c *Config) {
 		c.Gateways = 4
 		c.Plans = append(c.Plans, Plan{Name: "cheap", Rate: 1000, Burst: 3000, Price: 0.1})
 	}, servers...)
-	for range 400 { // some ten answers a second, as of a small site
-		r.now += 100 * ms
-		r.serve("get", "wide", "x", 1)
+	for range 400 { // about ten answers a second, as at a small site
+		h.now += 100 * ms
+		h.serve("get", "wide", "x", 1)
 	}
-	pressedBy := func(open int) bool {
+	shedsWith := func(open int) bool {
 		for range open {
-			r.ask("get", "wide", "x", 1)
+			h.request("get", "wide", "x", 1)
 		}
-		r.g.survey()
-		_, acts := r.ask("get", "cheap", "y", 1)
-		return len(find[Send](acts)) == 0
+		h.g.summarizeFleet()
+		_, actions := h.request("get", "cheap", "y", 1)
+		return len(actionsOf[Send](actions)) == 0
 	}
-	if pressedBy(6) { // 24 of all gateways at 12 servers
-		t.Error("cheap work is shed with two requests a server")
+	if shedsWith(6) { // 24 from all four gateways, at 12 servers
+		t.Error("cheap work is shed with two requests per server")
 	}
-	if !pressedBy(60) {
-		t.Error("cheap work is let in with twenty requests a server")
+	if !shedsWith(60) {
+		t.Error("cheap work is admitted with twenty requests per server")
 	}
 }
 
-// A server that is gone is forgotten once nothing of it is out, and not while it would still be cold: coming back
-// under its id must not renew its budget. Without this the tables grow with every release of the fleet.
-func TestGoneServersAreForgotten(t *testing.T) {
-	r := newRig(t, nil)
-	id, s := r.send("get", "wide")
-	r.do(FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "new", Zone: "a", Started: r.now}}})
-	if len(r.g.servers) != 2 || len(r.g.order) != 2 || len(r.g.shorts) != 2 {
-		t.Errorf("%d, %d and %d are known, want the new one and the one with an attempt out",
-			len(r.g.servers), len(r.g.order), len(r.g.shorts))
+// A removed server has to be dropped once no attempt to it is in flight, or the tables grow with every release of the
+// fleet. It has to stay while it would still be in slow start: when it comes back under its id, it must not get a new
+// slow-start budget.
+func TestRemovedServersLeak(t *testing.T) {
+	h := newHarness(t, nil)
+	id, s := h.mustSend("get", "wide")
+	h.handle(FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "new", Zone: "a", Started: h.now}}})
+	if len(h.g.servers) != 2 || len(h.g.serverList) != 2 || len(h.g.serversByKey) != 2 {
+		t.Errorf("%d, %d and %d servers are known, want the new one and the one with an attempt in flight",
+			len(h.g.servers), len(h.g.serverList), len(h.g.serversByKey))
 	}
-	r.end(id, 0, s.Server, OK)
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "new", State: Gone}, {ID: "never", State: Gone}}})
-	if cold := r.g.servers["new"]; len(r.g.servers) != 1 || cold == nil || cold.State != Gone {
-		t.Errorf("known are %v, want the cold one", r.g.servers)
+	h.endAttempt(id, 0, s.Server, OK)
+	h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "new", State: Removed}, {ID: "never", State: Removed}}})
+	if cold := h.g.servers["new"]; len(h.g.servers) != 1 || cold == nil || cold.State != Removed {
+		t.Errorf("known servers are %v, want the one in slow start", h.g.servers)
 	}
-	r.now += r.g.cfg.Safety.ColdFor
-	r.do(TimerFired{Token: beatToken})
-	if len(r.g.servers)+len(r.g.order)+len(r.g.shorts) != 0 {
-		t.Errorf("still known are %v", r.g.servers)
+	h.now += h.g.cfg.Safety.ColdFor
+	h.handle(TimerFired{Token: heartbeatToken})
+	if len(h.g.servers)+len(h.g.serverList)+len(h.g.serversByKey) != 0 {
+		t.Errorf("known servers are %v, want none", h.g.servers)
 	}
 }
 
-// What is gone may be told without its cell. Where a keyed request may be repeated hangs on it, so it stays.
-func TestGoneServerKeepsItsCell(t *testing.T) {
-	r := newRig(t, nil, Server{ID: "s", Zone: "a", Cell: 7})
-	r.send("put", "wide")
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s", State: Gone}}})
-	if s := r.g.servers["s"]; s.State != Gone || s.Cell != 7 || s.Zone != "a" {
-		t.Errorf("known is %+v", s.Server)
+// The list may report a removed server without its cell. The cell decides where a keyed request may be repeated, so the
+// gateway has to keep the one that it knows.
+func TestRemovedServerLosesCell(t *testing.T) {
+	h := newHarness(t, nil, Server{ID: "s", Zone: "a", Cell: 7})
+	h.mustSend("put", "wide")
+	h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s", State: Removed}}})
+	if s := h.g.servers["s"]; s.State != Removed || s.Cell != 7 || s.Zone != "a" {
+		t.Errorf("the removed server is known as %+v", s.Server)
 	}
 }
 
-// Customers that come once are forgotten as fast as new ones come, and only when a new one would stand as they do.
-func TestCustomersWhoComeOnceAreForgotten(t *testing.T) {
-	r := newRig(t, nil)
-	most := 0
+// Customers that come once have to be dropped as fast as new ones arrive, but only once their state is that of a new
+// customer.
+func TestOneTimeCustomersLeak(t *testing.T) {
+	h := newHarness(t, nil)
+	maxKept := 0
 	for i := range 20000 { // 100 new ones a second
-		r.now += 10 * ms
-		r.serve("get", "wide", fmt.Sprint(i), 1)
+		h.now += 10 * ms
+		h.serve("get", "wide", fmt.Sprint(i), 1)
 		if i%10 == 0 {
 			for _, p := range []int{1, 2} {
-				r.g.peers[p].queue = nil // as if told
+				h.g.peers[p].queue = nil // as if the peers had been sent all of it
 			}
-			for _, c := range r.g.queue {
+			for _, c := range h.g.evictionQueue {
 				clear(c.queued)
 			}
-			r.do(TimerFired{Token: beatToken})
+			h.handle(TimerFired{Token: heartbeatToken})
 		}
-		most = max(most, len(r.g.customers))
+		maxKept = max(maxKept, len(h.g.customers))
 	}
-	if most > 2000 || len(r.g.queue) != len(r.g.customers) {
-		t.Errorf("%d customers were kept, want those of some seconds", most)
+	if maxKept > 2000 || len(h.g.evictionQueue) != len(h.g.customers) {
+		t.Errorf("%d customers were kept, want those of a few seconds", maxKept)
 	}
-	r.serve("get", "small", "deep", 4)
-	c := r.g.customers[shortKey("deep")]
-	c.level, c.whole = 1000, 1000 // far from empty after the time
-	r.now += 2 * forgetAfter
+	h.serve("get", "small", "deep", 4)
+	c := h.g.customers[hashKey("deep")]
+	c.bucketLevel, c.sharedLevel = 1000, 1000 // too much to leak away in the time that follows
+	h.now += 2 * customerIdleTTL
 	clear(c.queued)
-	if r.g.asNew(c) {
-		t.Error("a customer in debt would be forgotten")
+	if h.g.evictable(c) {
+		t.Error("a customer whose usage has not leaked away would be dropped")
 	}
 }
 
-// A peer that has forgotten a customer counts anew. Its lower totals must not be taken for use given back.
-func TestPeerThatForgotCountsAnew(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
-	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 50, 50, 1))})
-	r.now += forgetAfter
-	r.serve("get", "wide", "x", 900)
-	before := r.g.customers[shortKey("x")].whole
-	r.do(PeerMessage{From: 1, Text: message(1, 3, entry("x", 0, 2, 2, 0))})
-	if now := r.g.customers[shortKey("x")].whole; now < before {
-		t.Errorf("the customer's level fell from %v to %v", before, now)
+// A peer that has dropped a customer counts from 0 again. Its lower totals must not be taken for usage given back.
+func TestPeerCountResetLowersUsage(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 1, testEntry("x", 0, 0, 0, 0))})
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 2, testEntry("x", 0, 50, 50, 1))})
+	h.now += customerIdleTTL
+	h.serve("get", "wide", "x", 900)
+	before := h.g.customers[hashKey("x")].sharedLevel
+	h.handle(PeerMessage{From: 1, Text: testMessage(1, 3, testEntry("x", 0, 2, 2, 0))})
+	if now := h.g.customers[hashKey("x")].sharedLevel; now < before {
+		t.Errorf("the customer's shared level fell from %v to %v", before, now)
 	}
 }
 
-// A client that the quota refuses is told when it has room: sooner it would be refused again, later it waits in vain.
-func TestAdviceFitsTheBucket(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Limits.MaxRetryAfter = time.Minute })
-	r.now += time.Minute
-	var acts []Action
-	for len(find[Refuse](acts)) == 0 {
-		id, a := r.ask("get", "small", "x", 1)
-		if acts = a; len(find[Send](acts)) > 0 {
-			r.end(id, 0, find[Send](acts)[0].Server, OK)
+// A client that the quota refuses is told when the quota has room for it. After a shorter time it would be refused
+// again, and with a longer one it would wait without need.
+func TestRetryAfterMismatchesBucket(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.Limits.MaxRetryAfter = time.Minute })
+	h.now += time.Minute
+	var actions []Action
+	for len(actionsOf[Refuse](actions)) == 0 {
+		id, a := h.request("get", "small", "x", 1)
+		if actions = a; len(actionsOf[Send](actions)) > 0 {
+			h.endAttempt(id, 0, actionsOf[Send](actions)[0].Server, OK)
 		}
 	}
-	wait := find[Refuse](acts)[0].RetryAfter
-	c := r.g.customers[shortKey("x")]
-	asked := c.asked
+	wait := actionsOf[Refuse](actions)[0].RetryAfter
+	c := h.g.customers[hashKey("x")]
+	asked := c.demand
 	for _, at := range []time.Duration{wait * 9 / 10, wait * 11 / 10} {
 		then := *c
-		r.g.now = r.now + at
-		r.g.leak(&then)
-		if then.room(1) != (at > wait) {
-			t.Errorf("advice is %v; room after %v: %v", wait, at, then.room(1))
+		h.g.now = h.now + at
+		h.g.updateQuota(&then)
+		if then.hasRoom(1) != (at > wait) {
+			t.Errorf("the retry-after time is %v; room after %v: %v", wait, at, then.hasRoom(1))
 		}
 	}
-	if c.asked != asked || wait <= 0 {
-		t.Errorf("advice is %v", wait)
+	if c.demand != asked || wait <= 0 {
+		t.Errorf("the retry-after time is %v, want more than 0; or the check changed the demand", wait)
 	}
 }
