--- a/internal/gateway/crossfire_test.go
+++ b/internal/gateway/crossfire_test.go
@@ -1,9 +1,8 @@
 //go:build !race
 
-// The race detector's runtime breaks down in tests with many bubbles of testing/synctest: it ended with "CHECK failed:
-// tsan_rtl.cpp:346" or a fault in its stack depot in one of some ten runs and in both with
-// -count=20.
-// So these tests are built without it, and CI runs them in a call of their own.
+// The race detector's runtime fails in tests with many testing/synctest bubbles. It ended with "CHECK failed:
+// tsan_rtl.cpp:346" or a fault in its stack depot in one of about ten runs, and in both runs with -count=20. So these
+// tests are built without it, and CI runs them in a separate call.
 
 package gateway
 
@@ -32,89 +31,99 @@
 	"winghatch/internal/settings"
 )
 
-// The search for crossings. A gateway's loop with its readers and writers runs on a virtual clock among clients and
-// servers in memory, through a random sequence of steps; what holds of every gateway is checked after each. While the
-// loop is held, steps pile up and meet in one turn of it, as on a busy core.
+// A randomized search for races between events. It runs a gateway's loop with its readers and writers on a virtual
+// clock, with clients and servers in memory, and performs a random sequence of actions. After each action it checks
+// the invariants that hold for every gateway. While the loop is paused, events accumulate and are then handled in one
+// iteration of the loop, as on a busy core.
 
-// The bounds that are checked.
+// The limits that are checked. Comments in quotation marks quote the requirements.
 const (
-	goneFor   = 100 * time.Millisecond // past a client's close no attempt for it begins
-	drainFor  = 300 * time.Millisecond // past the word that a server drains nothing is sent to it: grace and slack
-	slackTime = 60 * time.Millisecond  // past its time an answer may come
+	clientGoneGrace = 100 * time.Millisecond // no attempt starts later than this after its client has closed
+	// No request goes to a server later than this after it is reported as draining: grace period and slack.
+	drainGrace  = 300 * time.Millisecond
+	answerSlack = 60 * time.Millisecond // an answer may be late by this much
 	// "At most what is left to the client, with 0.15 s of slack."
-	deadlineSlack = 150 * time.Millisecond
-	endWithin     = 4 * time.Second // of SIGTERM the loop has ended: the longest deadline and 0.7 s, and a linger
-	// "SIGKILL comes no sooner than the longest deadline and 0.7 s more after SIGTERM": here a deadline of 2 s.
+	deadlineSlack   = 150 * time.Millisecond
+	maxShutdownTime = 4 * time.Second // from SIGTERM to the loop's end: the longest deadline plus 0.7 s, and a linger
+	// "SIGKILL comes no sooner than the longest deadline and 0.7 s more after SIGTERM": here the longest deadline is
+	// 2 s.
 	killAfter = 2700 * time.Millisecond
 	// "What SIGKILL finds unanswered [is lost], if that request came more than 0.7 s after SIGTERM."
-	killSpares = 700 * time.Millisecond
+	lateRequestCutoff = 700 * time.Millisecond
 )
 
-// A steady slow reader takes so many bytes in each interval.
+// A slow client that keeps reading reads slowReadBytes in each slowReadInterval.
 const (
-	sipBytes = 24
-	sipEvery = 40 * time.Millisecond
-	sipsEnd  = 500 * time.Millisecond // behind the last of them a stopping gateway has ended
+	slowReadBytes    = 24
+	slowReadInterval = 40 * time.Millisecond
+	// A stopping gateway must end this long after the last such client has its answers.
+	slowReadGrace = 500 * time.Millisecond
 )
 
-// act is one kind of step.
-type act int
+// actionKind is a kind of action.
+type actionKind int
 
 const (
-	actConnect act = iota
+	actConnect actionKind = iota
 	actSend
-	actHalf
+	actPartial
 	actGarbage
 	actClose
 	actReset
-	actBreak
+	actBreakOnWrite
 	actHalfClose
-	actSlow
-	actSip
+	actStall
+	actSlowRead
 	actAnswer
 	actAnswerAll
-	actIdle
-	actDial
-	actTell
-	actWord
+	actServerIdle
+	actDialMode
+	actServerUpdate
+	actPeerMessage
 	actWait
-	actHold
-	actRelease
+	actPauseLoop
+	actResumeLoop
 	actPanic
 	actStop
 	actCount
 )
 
-var actNames = [actCount]string{"connect", "send", "half", "garbage", "close", "reset", "break", "half-close", "slow", "sip", "answer",
-	"answer all", "idle", "dial", "tell", "word", "wait", "hold", "release", "panic", "stop"}
+var actNames = [actCount]string{"connect", "send", "partial", "garbage", "close", "reset", "break on write",
+	"half-close", "stall", "slow read", "answer", "answer all", "server idle", "dial mode", "server update",
+	"peer message", "wait", "pause loop", "resume loop", "panic", "stop"}
 
-// move is one step: which client or server it is about, and how.
-type move struct {
-	Act  act
+// action is one step of a scenario. A and B select the client or server and the variant.
+type action struct {
+	Kind actionKind
 	A, B int
 }
 
-func (m move) String() string { return fmt.Sprintf("%s(%d,%d)", actNames[m.Act], m.A, m.B) }
+func (a action) String() string { return fmt.Sprintf("%s(%d,%d)", actNames[a.Kind], a.A, a.B) }
 
-// weights say how often each act is drawn.
-var weights = [actCount]int{actConnect: 4, actSend: 14, actHalf: 4, actGarbage: 2, actClose: 3, actReset: 3, actBreak: 3, actHalfClose: 2,
-	actSlow: 5, actSip: 3, actAnswer: 8, actAnswerAll: 5, actIdle: 3, actDial: 5, actTell: 4, actWord: 4, actWait: 12, actHold: 4, actRelease: 3,
-	actPanic: 1, actStop: 1}
+// actionWeights are the relative frequencies of the kinds of action.
+var actionWeights = [actCount]int{actConnect: 4, actSend: 14, actPartial: 4, actGarbage: 2, actClose: 3, actReset: 3,
+	actBreakOnWrite: 3, actHalfClose: 2, actStall: 5, actSlowRead: 3, actAnswer: 8, actAnswerAll: 5, actServerIdle: 3,
+	actDialMode: 5, actServerUpdate: 4, actPeerMessage: 4, actWait: 12, actPauseLoop: 4, actResumeLoop: 3, actPanic: 1,
+	actStop: 1}
 
-func moves() *rapid.Generator[move] {
-	var all []act
-	for a, n := range weights {
-		all = append(all, slices.Repeat([]act{act(a)}, n)...)
+// actions generates random actions, their kinds drawn by actionWeights.
+func actions() *rapid.Generator[action] {
+	var all []actionKind
+	for a, n := range actionWeights {
+		all = append(all, slices.Repeat([]actionKind{actionKind(a)}, n)...)
 	}
-	return rapid.Custom(func(t *rapid.T) move {
-		return move{rapid.SampledFrom(all).Draw(t, "act"), rapid.IntRange(0, 7).Draw(t, "a"), rapid.IntRange(0, 255).Draw(t, "b")}
+	return rapid.Custom(func(t *rapid.T) action {
+		return action{rapid.SampledFrom(all).Draw(t, "act"), rapid.IntRange(0, 7).Draw(t, "a"),
+			rapid.IntRange(0, 255).Draw(t, "b")}
 	})
 }
 
-// setting is what a search draws once.
-type setting struct{ Gateways, Sockets, Rate, Cancel, Parallel, Open int }
+// scenario holds the parameters that are drawn once for each run: the number of gateways, the limit of descriptors, the
+// refill rate of plan p, whether attempts may be cancelled and may run in parallel (0 or 1), and the limit of open
+// requests.
+type scenario struct{ Gateways, Sockets, Rate, Cancel, Parallel, Open int }
 
-const crossProfile = `{"Classes":[
+const simSettings = `{"Classes":[
  {"Name":"look","Effect":"safe","AimNs":900000000,"GiveUpNs":2000000000,"Importance":1,"LateWorth":0.2},
  {"Name":"book","Effect":"keyed","Group":"cell","WindowNs":400000000,"AimNs":900000000,"GiveUpNs":2000000000,"Importance":3,"LateWorth":0.2},
  {"Name":"pay","Effect":"unsafe","AimNs":900000000,"GiveUpNs":2000000000,"Importance":3,"LateWorth":0.2}],
@@ -126,183 +135,190 @@
 "TiersOfService":[{"Name":"p","Refill":%d,"MostAtOnce":%d,"Pays":1},
  {"Name":"q","Refill":20,"MostAtOnce":16,"NeverOverRate":40,"NeverOverDepth":32,"HardSlack":8,"Pays":2}]}`
 
-var crossClasses = []string{"look", "book", "pay"}
-
-// asking is a request as its client knows it.
-type asking struct {
-	id, class string
-	c         *crossClient
-	ends      int           // bytes of its connection up to its last
-	for_      time.Duration // how long its client waits
-	at        time.Time     // when its last byte was written
-	spoilt    bool          // stands behind what can't be read, or came too late itself: no answer is owed
-	read      bool          // the gateway has it whole ...
-	readSlow  bool          // ... and took it though its client's window was full, or many answers were owed before it
-	answered  time.Time
-	runs      []*arrival
+var simClasses = []string{"look", "book", "pay"}
+
+// clientRequest is a request as its client knows it.
+type clientRequest struct {
+	id, class          string
+	client             *simClient
+	endOffset          int           // offset in the client's output just after its last byte
+	timeout            time.Duration // how long the client waits
+	sentAt             time.Time     // when its last byte was written; zero before that
+	noAnswerDue        bool          // it follows malformed input or was itself sent too late, so no answer is due
+	read               bool          // the gateway has read all of it ...
+	readDespiteBacklog bool          // ... although the client's window was full, or many answers were pending before it
+	answeredAt         time.Time
+	arrivals           []*arrival
 }
 
-// arrival is an attempt that has come whole to a server.
+// arrival is an attempt that has arrived completely at a server.
 type arrival struct {
-	s     *crossServer
-	ask   *asking
-	first time.Time // when its first byte was written
-	never bool      // the server said that it did not run
-	over  bool
+	server      *simServer
+	request     *clientRequest
+	firstByteAt time.Time // when its first byte was written
+	neverRan    bool      // the server reported that it did not run
+	ended       bool
 }
 
-type crossClient struct {
-	near, far  *wireEnd
-	out        []byte // to be written as there is room
-	written    int
-	wants      []*asking // commands with no answer yet; nil stands for PING
-	in         []byte
-	half       []byte // the rest of a command that was begun
-	halfAt     time.Time
-	bad        bool // has sent what can't be read: what follows is not owed, and what stands before it is
-	stalled    bool // took nothing for so long that it may be given up: "one that takes nothing is not alive"
-	slow       bool // does not read ...
-	slowAt     time.Time
-	full       bool // its window was full when its bytes were last moved
-	sips       bool // reads slowly, but steadily
-	sipAt      time.Time
-	gone       time.Time // zero: still there
-	over       bool
-	lastAnswer time.Time
+// simClient is a client of the simulation, with its connection.
+type simClient struct {
+	near, far       *memConn
+	unwritten       []byte // to be written when there is room
+	written         int
+	pending         []*clientRequest // unanswered commands; nil stands for PING
+	received        []byte
+	partial         []byte // the rest of a command that was begun
+	partialAt       time.Time
+	malformed       bool // has sent malformed input: commands after it need no answer, those before it do
+	stalled         bool // has read nothing for so long that it may be closed: "one that takes nothing is not alive"
+	notReading      bool // does not read ...
+	notReadingSince time.Time
+	windowFull      bool // its receive window was full when its bytes were last moved
+	slowReader      bool // reads slowly but steadily
+	lastSlowRead    time.Time
+	goneAt          time.Time // when it disconnected; zero while connected
+	closed          bool
+	lastAnswerAt    time.Time
 }
 
-type crossConn struct {
-	far    *wireEnd
-	in     []byte
-	split  int // bytes of the commands that were whole
-	waits  []*arrival
-	left   string // the rest of an answer that was begun
-	over   bool
-	broken bool // what was said on it is no answer, or more than one
+// simConn is the server's end of a connection between the gateway and a server.
+type simConn struct {
+	far          *memConn
+	received     []byte
+	parsedBytes  int // total length of the commands that were parsed
+	pending      []*arrival
+	restOfAnswer string // the rest of an answer that was begun
+	closed       bool
+	outOfStep    bool // the server sent something other than exactly one answer on it
 }
 
-type crossServer struct {
-	id, addr    string
-	cell, moved int
-	mode        int // of new connections
-	conns       []*crossConn
-	state       string
-	told        time.Time // when it was last said to drain or to be gone; zero while it is up
-	started     int64
+// simServer is a card server of the simulation.
+type simServer struct {
+	id, addr      string
+	cell, moves   int
+	dialMode      int // for new connections; see simulation.dial
+	conns         []*simConn
+	state         string
+	drainingSince time.Time // when it was last reported as draining or removed; zero while it is up
+	startedMS     int64
 }
 
-// cross is a gateway's loop among clients and servers in memory.
-type cross struct {
-	l        *loop
-	s        setting
-	clients  []*crossClient
-	servers  []*crossServer
-	asks     map[string]*asking
-	words    []string
-	version  uint64
-	hold     chan struct{} // the loop stands still until it is closed
-	done     chan string   // how the loop ended: "" or the crash
-	ended    bool
-	stopped  time.Time
-	killed   bool      // the time of SIGKILL is over
-	sipped   time.Time // when a steady slow reader last waited for answers
-	nextID   int
-	faults   []string
-	mu       sync.Mutex // of what dials and closes change
-	fds      int
-	fdsMost  int
-	doorShut bool
+// simulation is a gateway's loop with clients and servers in memory.
+type simulation struct {
+	loop             *loop
+	scenario         scenario
+	clients          []*simClient
+	servers          []*simServer
+	requests         map[string]*clientRequest
+	peerMessages     []string
+	listVersion      uint64
+	paused           chan struct{} // blocks the loop until it is closed; nil while the loop runs
+	result           chan string   // how the loop ended: "", or the panic
+	ended            bool
+	stoppedAt        time.Time
+	killChecked      bool      // the check at the time of SIGKILL has been made
+	slowReaderSeenAt time.Time // when a steadily reading slow client was last waiting for answers
+	nextID           int
+	failures         []string
+	mu               sync.Mutex // protects what dials and closes change
+	openFDs          int
+	maxFDs           int
+	listenerClosed   bool
 }
 
-func (x *cross) fault(format string, args ...any) {
-	x.faults = append(x.faults, fmt.Sprintf(format, args...))
+// failf records a violation. The scenario ends after the action in which the first one occurs.
+func (x *simulation) failf(format string, args ...any) {
+	x.failures = append(x.failures, fmt.Sprintf(format, args...))
 }
 
-// probe runs in the loop.
-type probe func(l *loop)
+// loopFunc is an event that runs a function in the loop.
+type loopFunc func(l *loop)
 
-func (p probe) apply(l *loop) { p(l) }
+func (p loopFunc) apply(l *loop) { p(l) }
 
-// keeper keeps what the module tells other gateways.
-type keeper struct{ x *cross }
+// messageRecorder records the latest messages that the engine sends to other gateways.
+type messageRecorder struct{ x *simulation }
 
-func (k keeper) tell(_ int, text string) error {
-	k.x.mu.Lock()
-	defer k.x.mu.Unlock()
-	if k.x.words = append(k.x.words, text); len(k.x.words) > 8 {
-		k.x.words = k.x.words[1:]
+func (r messageRecorder) send(_ int, text string) error {
+	r.x.mu.Lock()
+	defer r.x.mu.Unlock()
+	if r.x.peerMessages = append(r.x.peerMessages, text); len(r.x.peerMessages) > 8 {
+		r.x.peerMessages = r.x.peerMessages[1:]
 	}
 	return nil
 }
 
-// door is a listener that is only closed.
-type door struct{ x *cross }
+// closeOnlyListener is a listener that can only be closed.
+type closeOnlyListener struct{ x *simulation }
 
-func (d door) Accept() (net.Conn, error) { return nil, net.ErrClosed }
-func (d door) Addr() net.Addr            { return &net.TCPAddr{} }
-func (d door) Close() error {
-	d.x.mu.Lock()
-	defer d.x.mu.Unlock()
-	if !d.x.doorShut {
-		d.x.doorShut = true
-		go d.x.l.in.post(acceptEnded{})
+func (l closeOnlyListener) Accept() (net.Conn, error) { return nil, net.ErrClosed }
+func (l closeOnlyListener) Addr() net.Addr            { return &net.TCPAddr{} }
+func (l closeOnlyListener) Close() error {
+	l.x.mu.Lock()
+	defer l.x.mu.Unlock()
+	if !l.x.listenerClosed {
+		l.x.listenerClosed = true
+		go l.x.loop.inbox.post(acceptEnded{})
 	}
 	return nil
 }
 
-func newCross(s setting) (*cross, error) {
-	set, err := settings.Parse(json.RawMessage(fmt.Sprintf(crossProfile, s.Gateways, s.Cancel == 1, s.Parallel == 1, s.Open,
+// newSimulation starts a gateway's loop with four servers and no client.
+func newSimulation(s scenario) (*simulation, error) {
+	set, err := settings.Parse(json.RawMessage(fmt.Sprintf(simSettings, s.Gateways, s.Cancel == 1, s.Parallel == 1, s.Open,
 		s.Rate, max(16, 2*s.Rate))))
 	if err != nil {
 		return nil, err
 	}
-	x := &cross{s: s, asks: map[string]*asking{}, version: 1, done: make(chan string, 1)}
+	x := &simulation{scenario: s, requests: map[string]*clientRequest{}, listVersion: 1, result: make(chan string, 1)}
 	for i := range 4 {
-		x.servers = append(x.servers, &crossServer{id: fmt.Sprint("s-", i), addr: fmt.Sprintf("10.0.0.%d:1", i), cell: i, state: "up"})
+		x.servers = append(x.servers, &simServer{id: fmt.Sprint("s-", i), addr: fmt.Sprintf("10.0.0.%d:1", i),
+			cell: i, state: "up"})
 	}
 	cfg := Config{Name: "n0", Cores: 1, MemoryMB: 64, Sockets: s.Sockets, Settings: set, Seed: 1, Known: x.list(x.servers...)}
-	if x.l, err = newLoop(cfg, slog.New(slog.DiscardHandler)); err != nil {
+	if x.loop, err = newLoop(cfg, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
 	}
-	x.l.dial, x.l.peers, x.l.ready = x.dial, keeper{x}, true
+	x.loop.dial, x.loop.peers, x.loop.ready = x.dial, messageRecorder{x}, true
 	go func() {
 		defer func() {
 			if p := recover(); p != nil {
-				x.l.in.close()
-				x.done <- fmt.Sprintf("the gateway crashed: %v\n%s", p, debug.Stack())
+				x.loop.inbox.close()
+				x.result <- fmt.Sprintf("the loop panicked: %v\n%s", p, debug.Stack())
 			}
 		}()
-		x.l.run()
-		x.l.shut()
-		x.done <- ""
+		x.loop.run()
+		x.loop.shutdown()
+		x.result <- ""
 	}()
 	return x, nil
 }
 
-func (x *cross) list(servers ...*crossServer) serverList {
-	l := serverList{Version: x.version, Full: true}
+// list returns a full list of the given servers, as discovery sends it.
+func (x *simulation) list(servers ...*simServer) serverList {
+	l := serverList{Version: x.listVersion, Full: true}
 	for _, s := range servers {
 		l.Servers = append(l.Servers, serverEntry{ID: s.id, Addr: s.addr, Zone: "a", Cell: s.cell, State: s.state, Weight: 1,
-			StartedMS: s.started})
+			StartedMS: s.startedMS})
 	}
 	return l
 }
 
-// opened counts a descriptor of the gateway's.
-func (x *cross) opened(e *wireEnd) {
+// trackDescriptor counts a file descriptor of the gateway until it is closed.
+func (x *simulation) trackDescriptor(e *memConn) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.fds++
-	x.fdsMost = max(x.fdsMost, x.fds)
+	x.openFDs++
+	x.maxFDs = max(x.maxFDs, x.openFDs)
 	e.onClose = func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.fds--
+		x.openFDs--
 	}
 }
 
-// dial makes a connection to a server as its mode has it: at once, late, refused, or never.
-func (x *cross) dial(ctx context.Context, addr string) (net.Conn, error) {
+// dial connects to a server according to the server's dialMode: immediately, late, refused, or never.
+func (x *simulation) dial(ctx context.Context, addr string) (net.Conn, error) {
 	s, mode := x.serverAt(addr)
 	wait := time.Duration(0)
 	switch mode {
@@ -320,441 +336,456 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	near, far := newWire(4 << 10)
-	x.opened(near)
+	near, far := newMemPipe(4 << 10)
+	x.trackDescriptor(near)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	s.conns = append(s.conns, &crossConn{far: far})
+	s.conns = append(s.conns, &simConn{far: far})
 	return near, nil
 }
 
-func (x *cross) serverAt(addr string) (*crossServer, int) {
+// serverAt returns the server with an address, and its mode for new connections.
+func (x *simulation) serverAt(addr string) (*simServer, int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, s := range x.servers {
 		if s.addr == addr {
-			return s, s.mode
+			return s, s.dialMode
 		}
 	}
-	return nil, 2 // moved since
+	return nil, 2 // the server has moved to another address
 }
 
-// do makes one step.
-func (x *cross) do(m move) {
-	switch m.Act {
+// perform performs one action.
+func (x *simulation) perform(a action) {
+	switch a.Kind {
 	case actConnect:
-		x.connect(m)
+		x.connect(a)
 	case actAnswer:
-		x.answer(m.A, m.B)
+		x.serverAnswer(a.A, a.B)
 	case actAnswerAll:
 		for range 100 {
-			if !x.answer(m.A, m.B%8) { // whole, and some long
+			if !x.serverAnswer(a.A, a.B%8) { // only whole answers, some of them long
 				break
 			}
 		}
-	case actIdle:
-		x.idle(x.servers[m.A%len(x.servers)], m.B)
-	case actDial:
+	case actServerIdle:
+		x.serverIdleAction(x.servers[a.A%len(x.servers)], a.B)
+	case actDialMode:
 		x.mu.Lock()
-		x.servers[m.A%len(x.servers)].mode = m.B % 5
+		x.servers[a.A%len(x.servers)].dialMode = a.B % 5
 		x.mu.Unlock()
-	case actTell:
-		x.tell(x.servers[m.A%len(x.servers)], m.B)
-	case actWord:
-		x.word(m.B)
+	case actServerUpdate:
+		x.updateServer(x.servers[a.A%len(x.servers)], a.B)
+	case actPeerMessage:
+		x.deliverPeerMessage(a.B)
 	case actWait:
 		waits := []time.Duration{1, 4, 12, 40, 110, 260, 600, 2100}
-		x.wait(waits[m.B%len(waits)] * time.Millisecond)
-	case actHold:
-		if x.hold == nil {
-			hold := make(chan struct{})
-			x.hold = hold
-			x.l.in.post(probe(func(*loop) { <-hold }))
+		x.wait(waits[a.B%len(waits)] * time.Millisecond)
+	case actPauseLoop:
+		if x.paused == nil {
+			resume := make(chan struct{})
+			x.paused = resume
+			x.loop.inbox.post(loopFunc(func(*loop) { <-resume }))
 		}
-	case actRelease:
-		x.release()
+	case actResumeLoop:
+		x.resumeLoop()
 	case actPanic:
-		x.l.in.post(probe(func(l *loop) {
-			l.core = &decide.Gateway{} // not made by New: it panics
-			l.feed(decide.FleetUpdate{Servers: []decide.Server{{ID: "s"}}})
+		x.loop.inbox.post(loopFunc(func(l *loop) {
+			l.engine = &decide.Gateway{} // not created by New, so it panics
+			l.enqueue(decide.FleetUpdate{Servers: []decide.Server{{ID: "s"}}})
 		}))
 	case actStop:
 		x.stop()
 	default:
-		x.client(m)
+		x.clientAction(a)
 	}
 	x.settle()
 }
 
-func (x *cross) release() {
-	if x.hold != nil {
-		close(x.hold)
-		x.hold = nil
+// resumeLoop lets a paused loop handle the events that have accumulated.
+func (x *simulation) resumeLoop() {
+	if x.paused != nil {
+		close(x.paused)
+		x.paused = nil
 		synctest.Wait()
 	}
 }
 
-func (x *cross) stop() {
-	if x.stopped.IsZero() {
-		x.stopped = time.Now()
-		x.l.in.post(stop{door{x}})
+// stop sends the gateway the stop request, once.
+func (x *simulation) stop() {
+	if x.stoppedAt.IsZero() {
+		x.stoppedAt = time.Now()
+		x.loop.inbox.post(stopRequested{closeOnlyListener{x}})
 	}
 }
 
-// wait lets time pass; nothing stands still meanwhile but what the servers and clients of the search do not do.
-func (x *cross) wait(d time.Duration) {
-	x.release()
-	for slice := 40 * time.Millisecond; d > 0; d -= slice {
-		time.Sleep(min(d, slice))
+// wait lets time pass. The loop is resumed if it was paused. No action is performed meanwhile.
+func (x *simulation) wait(d time.Duration) {
+	x.resumeLoop()
+	for interval := 40 * time.Millisecond; d > 0; d -= interval {
+		time.Sleep(min(d, interval))
 		x.settle()
 	}
 }
 
-func (x *cross) connect(m move) {
+// connect connects one or more clients, as far as the gateway accepts them now. Half of the variants give the client a
+// receive window of only 256 bytes.
+func (x *simulation) connect(a action) {
 	x.mu.Lock()
-	shut := x.doorShut
+	closed := x.listenerClosed
 	x.mu.Unlock()
-	if shut || len(x.clients) > 400 {
+	if closed || len(x.clients) > 400 {
 		return
 	}
-	room := 64 << 10
-	if m.B%2 == 1 {
-		room = 256
+	window := 64 << 10
+	if a.B%2 == 1 {
+		window = 256
 	}
-	for range 1 + m.B/2%4*m.A { // some come in crowds
+	for range 1 + a.B/2%4*a.A { // some arrive in crowds
 		select {
-		case x.l.ahead <- struct{}{}:
+		case x.loop.pendingAccepts <- struct{}{}:
 		default:
 			return
 		}
-		near, far := newWire(room)
-		x.opened(near)
+		near, far := newMemPipe(window)
+		x.trackDescriptor(near)
 		c, err := newClient(near)
 		if err != nil {
-			x.fault("a client: %v", err)
+			x.failf("creating a client: %v", err)
 			return
 		}
-		x.clients = append(x.clients, &crossClient{near: near, far: far})
-		x.l.in.post(joined{c})
+		x.clients = append(x.clients, &simClient{near: near, far: far})
+		x.loop.inbox.post(clientConnected{c})
 	}
 }
 
-// client makes a step of a client, one of the youngest.
-func (x *cross) client(m move) {
+// clientAction performs an action of one of the latest clients.
+func (x *simulation) clientAction(a action) {
 	if len(x.clients) == 0 {
 		return
 	}
-	c := x.clients[len(x.clients)-1-m.A%min(len(x.clients), 3)]
-	if !c.gone.IsZero() || c.over {
+	c := x.clients[len(x.clients)-1-a.A%min(len(x.clients), 3)]
+	if !c.goneAt.IsZero() || c.closed {
 		return
 	}
-	switch m.Act {
+	switch a.Kind {
 	case actSend:
-		x.finishHalf(c)
-		n := 1 + m.B%4
-		if m.B >= 128 {
-			n = m.B
+		x.finishPartial(c)
+		n := 1 + a.B%4
+		if a.B >= 128 {
+			n = a.B
 		}
 		for i := range n {
-			if (m.B+i)%9 == 5 {
-				c.out = append(c.out, "*1\r\n$4\r\nPING\r\n"...)
-				c.wants = append(c.wants, nil)
+			if (a.B+i)%9 == 5 {
+				c.unwritten = append(c.unwritten, "*1\r\n$4\r\nPING\r\n"...)
+				c.pending = append(c.pending, nil)
 				continue
 			}
-			x.request(c, m.A+i, m.B+i)
+			x.queueRequest(c, a.A+i, a.B+i)
 		}
-	case actHalf:
-		if c.half != nil {
-			x.finishHalf(c)
+	case actPartial:
+		if c.partial != nil {
+			x.finishPartial(c)
 			break
 		}
-		from := len(c.out)
-		x.request(c, m.A, m.B)
-		cut := from + (len(c.out)-from)*(1+m.B%6)/8
-		c.half, c.out, c.halfAt = slices.Clone(c.out[cut:]), c.out[:cut], time.Now()
+		from := len(c.unwritten)
+		x.queueRequest(c, a.A, a.B)
+		cut := from + (len(c.unwritten)-from)*(1+a.B%6)/8
+		c.partial, c.unwritten, c.partialAt = slices.Clone(c.unwritten[cut:]), c.unwritten[:cut], time.Now()
 	case actGarbage:
-		x.finishHalf(c)
-		c.bad = true
-		c.out = append(c.out, []string{"*x\r\n", "*1\r\n$-9\r\n", "GET / HTTP/1.1\r\n", "*1\r\n$4\r\nPINGPONG"}[m.B%4]...)
+		x.finishPartial(c)
+		c.malformed = true
+		c.unwritten = append(c.unwritten, []string{"*x\r\n", "*1\r\n$-9\r\n", "GET / HTTP/1.1\r\n",
+			"*1\r\n$4\r\nPINGPONG"}[a.B%4]...)
 	case actClose:
-		c.gone = time.Now()
+		c.goneAt = time.Now()
 		c.far.Close()
 	case actReset:
-		c.gone = time.Now()
-		c.far.abort(m.B%2 == 0)
-	case actBreak: // in the middle of a turn of the loop
-		c.near.breakAfter(1 + m.B%64)
+		c.goneAt = time.Now()
+		c.far.abort(a.B%2 == 0)
+	case actBreakOnWrite: // takes effect in the middle of an iteration of the loop
+		c.near.resetAfterWrites(1 + a.B%64)
 	case actHalfClose:
-		c.gone = time.Now()
+		c.goneAt = time.Now()
 		if err := c.far.CloseWrite(); err != nil {
 			c.far.Close()
 		}
-	case actSlow:
-		if c.slow = !c.slow; c.slow {
-			c.slowAt = time.Now()
-		} else if time.Since(c.slowAt) >= clientWrite-100*time.Millisecond {
+	case actStall:
+		if c.notReading = !c.notReading; c.notReading {
+			c.notReadingSince = time.Now()
+		} else if time.Since(c.notReadingSince) >= clientWriteTimeout-100*time.Millisecond {
 			c.stalled = true
 		}
-	case actSip:
-		c.sips = !c.sips
+	case actSlowRead:
+		c.slowReader = !c.slowReader
 	}
 }
 
-func (x *cross) finishHalf(c *crossClient) {
-	if c.half != nil {
-		if time.Since(c.halfAt) > usualLimits.command-100*time.Millisecond {
-			c.bad = true // too late for it
-			for _, r := range c.wants {
-				if r != nil && r.at.IsZero() {
-					r.spoilt = true
+// finishPartial queues the rest of a command that was begun. If that is later than the time limit for a command, the
+// gateway may have rejected the command.
+func (x *simulation) finishPartial(c *simClient) {
+	if c.partial != nil {
+		if time.Since(c.partialAt) > defaultClientTimeouts.command-100*time.Millisecond {
+			c.malformed = true // the command ended too late
+			for _, r := range c.pending {
+				if r != nil && r.sentAt.IsZero() {
+					r.noAnswerDue = true
 				}
 			}
 		}
-		c.out, c.half = append(c.out, c.half...), nil
+		c.unwritten, c.partial = append(c.unwritten, c.partial...), nil
 	}
 }
 
-// request queues a request of a client's, to be written as there is room.
-func (x *cross) request(c *crossClient, a, b int) {
+// queueRequest queues a request of a client, to be written when there is room.
+func (x *simulation) queueRequest(c *simClient, a, b int) {
 	x.nextID++
-	class := a % len(crossClasses)
-	name, list := "Q.DO", fmt.Sprintf("c=%s,t=%c,d=%d,units=%d,spread=2,first=0", crossClasses[class], "pq"[a/3%2], 300+b*7%1500, 1+b%3)
+	class := a % len(simClasses)
+	name, list := "Q.DO", fmt.Sprintf("c=%s,t=%c,d=%d,units=%d,spread=2,first=0", simClasses[class], "pq"[a/3%2],
+		300+b*7%1500, 1+b%3)
 	if class == 0 {
 		name = "Q.ASK"
 	}
 	if class == 1 {
 		list += ",k=" + strconv.Itoa(x.nextID)
 	}
-	r := &asking{id: fmt.Sprint("id-", x.nextID), class: crossClasses[class], c: c, for_: time.Duration(300+b*7%1500) * time.Millisecond,
-		spoilt: c.bad}
-	words := []string{name, fmt.Sprintf("%016x", 1+b%5), r.id, list}
+	r := &clientRequest{id: fmt.Sprint("id-", x.nextID), class: simClasses[class], client: c,
+		timeout: time.Duration(300+b*7%1500) * time.Millisecond, noAnswerDue: c.malformed}
+	args := []string{name, fmt.Sprintf("%016x", 1+b%5), r.id, list}
 	if class > 0 && b%16 == 7 {
-		words = append(words, strings.Repeat("B", 6<<10)) // more than a connection to a server takes at once
+		args = append(args, strings.Repeat("B", 6<<10)) // more than a connection to a server accepts in one write
 	}
-	c.out = redcon.AppendArray(c.out, len(words))
-	for _, w := range words {
-		c.out = redcon.AppendBulkString(c.out, w)
+	c.unwritten = redcon.AppendArray(c.unwritten, len(args))
+	for _, arg := range args {
+		c.unwritten = redcon.AppendBulkString(c.unwritten, arg)
 	}
-	r.ends = c.written + len(c.out)
-	x.asks[r.id] = r
-	c.wants = append(c.wants, r)
+	r.endOffset = c.written + len(c.unwritten)
+	x.requests[r.id] = r
+	c.pending = append(c.pending, r)
 }
 
-// tell posts news of a server, as a change or in a whole list.
-func (x *cross) tell(s *crossServer, b int) {
-	x.version++
-	told := true
+// updateServer changes the state of a server and posts it to the gateway, as a delta or as a full list.
+func (x *simulation) updateServer(s *simServer, b int) {
+	x.listVersion++
+	draining := true
 	switch b % 6 {
 	case 0, 1:
 		s.state = "draining"
 	case 2:
 		s.state = "removed"
 	case 3:
-		s.state, told = "up", false
+		s.state, draining = "up", false
 	case 4:
-		s.state, s.started, told = "up", time.Now().UnixMilli(), false
+		s.state, s.startedMS, draining = "up", time.Now().UnixMilli(), false
 	case 5:
-		s.moved++
+		s.moves++
 		x.mu.Lock()
-		s.addr = fmt.Sprintf("10.0.%d.%d:1", s.moved, s.cell)
+		s.addr = fmt.Sprintf("10.0.%d.%d:1", s.moves, s.cell)
 		x.mu.Unlock()
-		s.state, told = "up", false
+		s.state, draining = "up", false
 	}
-	if s.told = (time.Time{}); told {
-		s.told = time.Now()
+	if s.drainingSince = (time.Time{}); draining {
+		s.drainingSince = time.Now()
 	}
-	news := fleetNews{decide.FleetDelta, x.list(s)}
-	if news.list.Full = false; b >= 128 {
-		var left []*crossServer
-		for _, o := range x.servers {
-			if o.state != "removed" {
-				left = append(left, o)
+	update := listReceived{decide.FleetDelta, x.list(s)}
+	if update.list.Full = false; b >= 128 {
+		var listed []*simServer
+		for _, other := range x.servers {
+			if other.state != "removed" {
+				listed = append(listed, other)
 			}
 		}
-		news = fleetNews{decide.FleetFull, x.list(left...)}
+		update = listReceived{decide.FleetFull, x.list(listed...)}
 	}
-	x.l.in.post(news)
+	x.loop.inbox.post(update)
 }
 
-// word brings a word of another gateway: noise, one's own, or a home's answer to a question.
-func (x *cross) word(b int) {
+// deliverPeerMessage delivers a message from another gateway: noise, one that this gateway has sent, or a quota
+// owner's response to a query.
+func (x *simulation) deliverPeerMessage(b int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	text := "r" + strings.Repeat("z", b%40)
-	if n := len(x.words); n > 0 && b%4 > 0 {
-		text = x.words[b%n]
+	if n := len(x.peerMessages); n > 0 && b%4 > 0 {
+		text = x.peerMessages[b%n]
 		if len(text) >= 10 && text[0] == 'a' && b%4 > 1 {
-			text = "r" + text[1:10] + []string{"W0", "WG"}[b%2] + "W0W0W0" // refused, let in
+			text = "r" + text[1:10] + []string{"W0", "WG"}[b%2] + "W0W0W0" // refused, admitted
 		}
 	}
-	x.l.in.post(datagram{1 + b%(x.s.Gateways-1), text})
+	x.loop.inbox.post(peerDatagram{1 + b%(x.scenario.Gateways-1), text})
 }
 
-// answer has a server say something to the command that has waited longest on one of its connections.
-func (x *cross) answer(a, b int) bool {
+// serverAnswer makes a server send something for the oldest pending command of one of its connections. It reports
+// whether there was one.
+func (x *simulation) serverAnswer(a, b int) bool {
 	s := x.servers[a%len(x.servers)]
-	var c *crossConn
+	var c *simConn
 	x.mu.Lock()
-	for _, o := range s.conns {
-		if len(o.waits) > 0 && !o.over {
-			c = o
+	for _, other := range s.conns {
+		if len(other.pending) > 0 && !other.closed {
+			c = other
 		}
 	}
 	x.mu.Unlock()
 	if c == nil {
 		return false
 	}
-	w := c.waits[0]
-	if c.left != "" {
-		c.far.TryWrite([]byte(c.left))
-		c.left, c.waits, w.over = "", c.waits[1:], true
+	attempt := c.pending[0]
+	if c.restOfAnswer != "" {
+		c.far.TryWrite([]byte(c.restOfAnswer))
+		c.restOfAnswer, c.pending, attempt.ended = "", c.pending[1:], true
 		return true
 	}
-	value := served("v:" + w.ask.id + ":" + strings.Repeat("v", b%4*300))
-	say := value
+	value := servedReply("v:" + attempt.request.id + ":" + strings.Repeat("v", b%4*300))
+	reply := value
 	switch b / 8 % 14 {
 	case 3:
-		say = "-ERR failed\r\n"
+		reply = "-ERR failed\r\n"
 	case 4:
-		say, w.never = "-BUSY\r\n", true
+		reply, attempt.neverRan = "-BUSY\r\n", true
 	case 5:
-		say, c.broken = value+value, true
+		reply, c.outOfStep = value+value, true
 	case 6:
 		c.far.TryWrite([]byte(value[:len(value)/2]))
-		c.left = value[len(value)/2:]
+		c.restOfAnswer = value[len(value)/2:]
 		return true
 	case 7:
 		c.far.abort(b%2 == 0)
-		c.over, w.over = true, true
+		c.closed, attempt.ended = true, true
 		return true
 	case 8:
 		c.far.Close()
-		c.over, w.over = true, true
+		c.closed, attempt.ended = true, true
 		return true
 	case 9:
-		say, c.broken = "%noise\r\n", true
+		reply, c.outOfStep = "%noise\r\n", true
 	case 10:
 		c.far.TryWrite([]byte(value[:len(value)/2]))
 		c.far.Close()
-		c.over, w.over = true, true
+		c.closed, attempt.ended = true, true
 		return true
 	case 11:
-		say, c.broken = "*3\r\n$60000\r\nxxxxxx", true
+		reply, c.outOfStep = "*3\r\n$60000\r\nxxxxxx", true
 	}
-	c.far.TryWrite([]byte(say))
-	c.waits, w.over = c.waits[1:], true
+	c.far.TryWrite([]byte(reply))
+	c.pending, attempt.ended = c.pending[1:], true
 	return true
 }
 
-// idle has a server do something on a connection on which it owes nothing.
-func (x *cross) idle(s *crossServer, b int) {
+// serverIdleAction makes a server act on a connection on which no answer is pending.
+func (x *simulation) serverIdleAction(s *simServer, b int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, c := range s.conns {
-		if c.over || len(c.waits) > 0 || len(c.in) > 0 {
+		if c.closed || len(c.pending) > 0 || len(c.received) > 0 {
 			continue
 		}
 		switch b % 3 {
 		case 0:
 			c.far.Close()
-			c.over = true
+			c.closed = true
 		case 1:
-			c.far.TryWrite([]byte(served("v:late copy")))
-			c.broken = true
+			c.far.TryWrite([]byte(servedReply("v:late copy")))
+			c.outOfStep = true
 		case 2:
 			c.far.CloseWrite()
-			c.broken = true
+			c.outOfStep = true
 		}
 		return
 	}
 }
 
-// settle lets everything come to rest and looks at what has come out.
-func (x *cross) settle() {
+// settle moves bytes until nothing more happens, and checks the results.
+func (x *simulation) settle() {
 	for moved := true; moved; {
 		synctest.Wait()
 		moved = false
 		for _, c := range x.clients {
-			c.lookForBreak()
+			c.recordBreak()
 		}
-		for _, s := range x.servers { // ends first: an attempt may end as the next one begins
+		for _, s := range x.servers { // closes first: an attempt may end before the next one starts
 			x.mu.Lock()
-			s.conns = slices.DeleteFunc(s.conns, func(c *crossConn) bool { return c.over })
+			s.conns = slices.DeleteFunc(s.conns, func(c *simConn) bool { return c.closed })
 			conns := slices.Clone(s.conns)
 			x.mu.Unlock()
 			for _, c := range conns {
-				moved = c.hear() || moved
+				moved = c.receive() || moved
 			}
 		}
 		for _, s := range x.servers {
 			for _, c := range s.conns {
-				x.heard(s, c)
+				x.parseCommands(s, c)
 			}
 		}
 		for _, c := range x.clients {
-			moved = x.flows(c) || moved
+			moved = x.moveClientBytes(c) || moved
 		}
 	}
-	for _, c := range x.clients { // once all that can has moved
-		if c.gone.IsZero() && !c.stalled && !c.slow && !c.sips && !c.over && !x.ended {
-			x.due(c)
+	for _, c := range x.clients { // once nothing more can move
+		if c.goneAt.IsZero() && !c.stalled && !c.notReading && !c.slowReader && !c.closed && !x.ended {
+			x.checkLateAnswers(c)
 		}
 	}
 	select {
-	case crash := <-x.done:
+	case panicText := <-x.result:
 		x.ended = true
-		if crash != "" {
-			x.fault("%s", crash)
-		} else if x.stopped.IsZero() {
-			x.fault("the loop ended by itself")
+		if panicText != "" {
+			x.failf("%s", panicText)
+		} else if x.stoppedAt.IsZero() {
+			x.failf("the loop ended without a stop request")
 		}
 	default:
 	}
-	if n := x.l.metrics.Violations.Total(); n > 0 {
-		x.fault("the gateway's own guard was needed: %s", x.l.metrics.Summary())
+	if n := x.loop.metrics.Violations.Total(); n > 0 {
+		x.failf("the gateway reported an invariant violation: %s", x.loop.metrics.Summary())
 	}
-	if x.hold == nil && !x.ended {
-		x.l.in.post(probe(x.bounds))
+	if x.paused == nil && !x.ended {
+		x.loop.inbox.post(loopFunc(x.checkBounds))
 		synctest.Wait()
 	}
-	if !x.stopped.IsZero() && !x.killed && time.Since(x.stopped) >= killAfter {
-		x.kill()
+	if !x.stoppedAt.IsZero() && !x.killChecked && time.Since(x.stoppedAt) >= killAfter {
+		x.checkKill()
 	}
-	if x.anySips() {
-		x.sipped = time.Now()
+	if x.slowReaderPending() {
+		x.slowReaderSeenAt = time.Now()
 	}
-	if !x.stopped.IsZero() && !x.ended && time.Since(x.stopped) > endWithin && time.Since(x.sipped) > sipsEnd {
-		x.fault("the gateway still runs %v after SIGTERM", time.Since(x.stopped))
+	if !x.stoppedAt.IsZero() && !x.ended && time.Since(x.stoppedAt) > maxShutdownTime &&
+		time.Since(x.slowReaderSeenAt) > slowReadGrace {
+		x.failf("the gateway still runs %v after SIGTERM", time.Since(x.stoppedAt))
 	}
 }
 
-// kill looks for what SIGKILL would lose. The gateway goes on here, so that its own end is looked at as well. Only requests count
-// that a gateway read though it knew that it could not answer them soon (readSlow): the steady slow readers of the search
-// take 600 bytes a second through a window of 256, and nothing tells them from others until a window is full.
-func (x *cross) kill() {
-	x.killed = true
-	spared := x.stopped.Add(killSpares)
+// checkKill checks what a SIGKILL would lose now. The gateway is not killed, so that its normal end is checked as
+// well. Only requests count that the gateway read although it knew that it could not answer them soon
+// (readDespiteBacklog). The slow clients of the simulation read 600 bytes a second through a window of 256, and
+// nothing distinguishes them from other clients until a window is full.
+func (x *simulation) checkKill() {
+	x.killChecked = true
+	cutoff := x.stoppedAt.Add(lateRequestCutoff)
 	for _, c := range x.clients {
-		if c.over || c.slow || c.stalled || !c.gone.IsZero() {
+		if c.closed || c.notReading || c.stalled || !c.goneAt.IsZero() {
 			continue
 		}
-		// What has come to the client's machine is answered: it outlives the gateway, and when it is read is the client's affair.
-		arrived := answersIn(slices.Concat(c.in, c.far.peek()))
-		for _, r := range c.wants[min(arrived, len(c.wants)):] {
-			if r != nil && !r.spoilt && r.at.After(spared) && r.readSlow {
-				x.fault("%s came %v after SIGTERM, was read and has no answer at the time of SIGKILL", r.id, r.at.Sub(x.stopped))
+		// What has arrived at the client's machine counts as answered. It outlives the gateway, and the client
+		// decides when to read it.
+		arrived := countAnswers(slices.Concat(c.received, c.far.peek()))
+		for _, r := range c.pending[min(arrived, len(c.pending)):] {
+			if r != nil && !r.noAnswerDue && r.sentAt.After(cutoff) && r.readDespiteBacklog {
+				x.failf("%s was sent %v after SIGTERM, was read and has no answer at the time of SIGKILL", r.id,
+					r.sentAt.Sub(x.stoppedAt))
 			}
 		}
 	}
 }
 
-// anySips reports whether a steady slow reader waits for answers.
-func (x *cross) anySips() bool {
-	return slices.ContainsFunc(x.clients, func(c *crossClient) bool { return c.sips && !c.over && c.gone.IsZero() && len(c.wants) > 0 })
+// slowReaderPending reports whether a steadily reading slow client is waiting for answers.
+func (x *simulation) slowReaderPending() bool {
+	return slices.ContainsFunc(x.clients, func(c *simClient) bool { return c.slowReader && !c.closed && c.goneAt.IsZero() && len(c.pending) > 0 })
 }
 
-// bounds checks the tables, in the loop.
-func (x *cross) bounds(l *loop) {
+// checkBounds checks the loop's tables. It runs in the loop.
+func (x *simulation) checkBounds(l *loop) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	open, held := 0, 0
@@ -765,88 +796,89 @@
 		}
 	}
 	switch {
-	case x.fdsMost > l.cfg.Sockets-reserveSockets:
-		x.fault("%d connections with %d descriptors", x.fdsMost, l.cfg.Sockets)
-	case open > l.cfg.Settings.OpenCap || open != len(l.ids) || held != l.held:
-		x.fault("%d requests are open of %d allowed, %d ids are known, %d bytes held as %d", open, l.cfg.Settings.OpenCap,
-			len(l.ids), held, l.held)
-	case len(l.clients) > l.cfg.Sockets-leastSockets || l.pool.conns > l.pool.most:
-		x.fault("%d clients, %d connections to servers", len(l.clients), l.pool.conns)
+	case x.maxFDs > l.cfg.Sockets-reservedSockets:
+		x.failf("%d connections with %d descriptors", x.maxFDs, l.cfg.Sockets)
+	case open > l.cfg.Settings.OpenCap || open != len(l.openIDs) || held != l.openCommandBytes:
+		x.failf("%d requests are open of %d allowed, %d ids are in the table, %d bytes counted as %d",
+			open, l.cfg.Settings.OpenCap, len(l.openIDs), held, l.openCommandBytes)
+	case len(l.clients) > l.cfg.Sockets-minSockets || l.pool.connCount > l.pool.maxConns:
+		x.failf("%d clients, %d connections to servers", len(l.clients), l.pool.connCount)
 	}
 }
 
-// hear takes what has come on a connection, and its end.
-func (c *crossConn) hear() bool {
-	if c.over {
+// receive takes the bytes that have arrived on a connection, and its close.
+func (c *simConn) receive() bool {
+	if c.closed {
 		return false
 	}
-	b, open := c.far.all()
-	c.in = append(c.in, b...)
+	b, open := c.far.readAvailable()
+	c.received = append(c.received, b...)
 	if !open {
-		c.over = true
-		for _, w := range c.waits {
-			w.over = true
+		c.closed = true
+		for _, w := range c.pending {
+			w.ended = true
 		}
 	}
 	return len(b) > 0
 }
 
-// heard takes the commands that a server has got whole on a connection.
-func (x *cross) heard(s *crossServer, c *crossConn) {
-	for len(c.in) > 0 {
-		used, args, err := nextCommand(c.in, nil)
+// parseCommands takes the complete commands that a server has received on a connection.
+func (x *simulation) parseCommands(s *simServer, c *simConn) {
+	for len(c.received) > 0 {
+		used, args, err := parseCommand(c.received, nil)
 		if err != nil {
-			x.fault("%s got what is no command: %q", s.id, c.in)
+			x.failf("%s got malformed input: %q", s.id, c.received)
 		}
 		if err != nil || used == 0 {
 			return
 		}
-		x.arrived(s, c, string(args[idArg]), c.far.writtenAt(c.split))
-		x.deadline(string(args[idArg]), string(args[listArg]), c.far.writtenAt(c.split+used-1))
-		c.in, c.split = c.in[used:], c.split+used
+		x.checkArrival(s, c, string(args[idArg]), c.far.writtenAt(c.parsedBytes))
+		x.checkDeadline(string(args[idArg]), string(args[listArg]), c.far.writtenAt(c.parsedBytes+used-1))
+		c.received, c.parsedBytes = c.received[used:], c.parsedBytes+used
 	}
 }
 
-// arrived checks that a request may have come to a server, the first byte at a time.
-func (x *cross) arrived(s *crossServer, c *crossConn, id string, first time.Time) {
-	a := x.asks[id]
-	if a == nil {
-		x.fault("%s got %q, which no client sent", s.id, id)
+// checkArrival checks that a request was allowed to go to a server. Its first byte was written at the time first.
+func (x *simulation) checkArrival(s *simServer, c *simConn, id string, first time.Time) {
+	request := x.requests[id]
+	if request == nil {
+		x.failf("%s got %q, which no client sent", s.id, id)
 		return
 	}
-	if gone := a.c.gone; !gone.IsZero() && first.After(gone.Add(goneFor)) {
-		x.fault("%s (%s) was begun %v after its client had gone", id, a.class, first.Sub(gone))
+	if gone := request.client.goneAt; !gone.IsZero() && first.After(gone.Add(clientGoneGrace)) {
+		x.failf("%s (%s) was started %v after its client had disconnected", id, request.class, first.Sub(gone))
 	}
-	if !a.answered.IsZero() && first.After(a.answered) {
-		x.fault("%s (%s) was begun %v after its answer", id, a.class, first.Sub(a.answered))
+	if !request.answeredAt.IsZero() && first.After(request.answeredAt) {
+		x.failf("%s (%s) was started %v after its answer", id, request.class, first.Sub(request.answeredAt))
 	}
-	if !s.told.IsZero() && first.After(s.told.Add(drainFor)) {
-		x.fault("%s was sent to %s %v after that was told to go", id, s.id, first.Sub(s.told))
+	if !s.drainingSince.IsZero() && first.After(s.drainingSince.Add(drainGrace)) {
+		x.failf("%s was sent to %s %v after that was reported as draining or removed", id, s.id, first.Sub(s.drainingSince))
 	}
-	if c.broken || len(c.waits) > 0 {
-		x.fault("%s was sent on a connection that is out of step or owes an answer", id)
+	if c.outOfStep || len(c.pending) > 0 {
+		x.failf("%s was sent on a connection that is out of step or has a pending answer", id)
 	}
-	for _, w := range a.runs {
+	for _, earlier := range request.arrivals {
 		switch {
-		case w.never:
-		case a.class == "pay":
-			x.fault("%s must never run twice and went to %s and %s", id, w.s.id, s.id)
-		case a.class == "book" && (w.s != s || first.After(w.first.Add(400*time.Millisecond))):
-			x.fault("%s is dropped as a repeat at %s for 0.4 s and went to %s %v later", id, w.s.id, s.id, first.Sub(w.first))
+		case earlier.neverRan:
+		case request.class == "pay":
+			x.failf("%s must never run twice, but was sent to %s and %s", id, earlier.server.id, s.id)
+		case request.class == "book" && (earlier.server != s || first.After(earlier.firstByteAt.Add(400*time.Millisecond))):
+			x.failf("%s is recognized as a repeat only at %s and for 0.4 s, but was sent to %s %v later",
+				id, earlier.server.id, s.id, first.Sub(earlier.firstByteAt))
 		}
-		if x.s.Parallel == 0 && !w.over && !c.over {
-			x.fault("%s (%s) has two attempts out, at %s and %s", id, a.class, w.s.id, s.id)
+		if x.scenario.Parallel == 0 && !earlier.ended && !c.closed {
+			x.failf("%s (%s) has two attempts in flight, at %s and %s", id, request.class, earlier.server.id, s.id)
 		}
 	}
-	w := &arrival{s: s, ask: a, first: first, over: c.over}
-	a.runs, c.waits = append(a.runs, w), append(c.waits, w)
+	attempt := &arrival{server: s, request: request, firstByteAt: first, ended: c.closed}
+	request.arrivals, c.pending = append(request.arrivals, attempt), append(c.pending, attempt)
 }
 
-// deadline checks the time that a server was told with the last byte of an attempt: "at most what is left to the client,
-// with 0.15 s of slack".
-func (x *cross) deadline(id, list string, last time.Time) {
-	a := x.asks[id]
-	if a == nil || a.at.IsZero() {
+// checkDeadline checks the time left that an attempt passed to its server, which counts from the attempt's last byte:
+// "at most what is left to the client, with 0.15 s of slack".
+func (x *simulation) checkDeadline(id, list string, last time.Time) {
+	request := x.requests[id]
+	if request == nil || request.sentAt.IsZero() {
 		return
 	}
 	for _, pair := range strings.Split(list, ",") {
@@ -856,100 +888,101 @@
 		}
 		ms, err := strconv.Atoi(value)
 		if err != nil {
-			x.fault("%s came with d=%s", id, value)
+			x.failf("%s came with d=%s", id, value)
 		}
-		told, left := time.Duration(ms)*time.Millisecond, a.at.Add(a.for_).Sub(last)
-		if told > left+deadlineSlack {
-			x.fault("%s (%s) told its server %v with %v left", id, a.class, told, left)
+		passed, left := time.Duration(ms)*time.Millisecond, request.sentAt.Add(request.timeout).Sub(last)
+		if passed > left+deadlineSlack {
+			x.failf("%s (%s) passed %v to its server with %v left", id, request.class, passed, left)
 		}
 	}
 }
 
-// flows moves a client's bytes and checks its answers.
-func (x *cross) flows(c *crossClient) bool {
-	if c.over || (!c.gone.IsZero() && c.far.shut()) {
+// moveClientBytes moves a client's bytes in both directions and checks the answers.
+func (x *simulation) moveClientBytes(c *simClient) bool {
+	if c.closed || (!c.goneAt.IsZero() && c.far.isClosed()) {
 		return false
 	}
-	c.noteReads()
-	defer func() { c.full = c.far.full() }()
+	c.recordReads()
+	defer func() { c.windowFull = c.far.full() }()
 	n := 0
-	if len(c.out) > 0 && c.gone.IsZero() {
-		n, _ = c.far.TryWrite(c.out)
-		c.out, c.written = c.out[n:], c.written+n
-		for _, r := range c.wants {
-			if r != nil && r.at.IsZero() && r.ends <= c.written {
-				r.at = time.Now()
+	if len(c.unwritten) > 0 && c.goneAt.IsZero() {
+		n, _ = c.far.TryWrite(c.unwritten)
+		c.unwritten, c.written = c.unwritten[n:], c.written+n
+		for _, r := range c.pending {
+			if r != nil && r.sentAt.IsZero() && r.endOffset <= c.written {
+				r.sentAt = time.Now()
 			}
 		}
 	}
-	if c.slow {
+	if c.notReading {
 		return n > 0
 	}
 	b, open := x.take(c)
-	c.in = append(c.in, b...)
-	for x.answered(c) {
+	c.received = append(c.received, b...)
+	for x.checkAnswer(c) {
 	}
 	if !open {
-		c.lookForBreak() // it may have come since the bytes above went out
-		c.over = true
-		for _, r := range c.wants {
-			if r != nil && !r.spoilt && !c.stalled && c.gone.IsZero() && r.ends <= c.near.read() {
-				x.fault("%s is lost: its connection was ended without an answer", r.id)
+		c.recordBreak() // the break may have happened since the bytes above were written
+		c.closed = true
+		for _, r := range c.pending {
+			if r != nil && !r.noAnswerDue && !c.stalled && c.goneAt.IsZero() && r.endOffset <= c.near.bytesRead() {
+				x.failf("%s is lost: its connection was closed without an answer", r.id)
 			}
 		}
 	}
 	return n > 0 || len(b) > 0
 }
 
-// noteReads notes which requests the gateway has read since the client's bytes were last moved.
-func (c *crossClient) noteReads() {
-	taken := c.near.read()
-	for before, r := range c.wants {
-		if r != nil && !r.read && r.ends <= taken {
-			r.read, r.readSlow = true, c.full || before >= 2*owedMost
+// recordReads records which requests the gateway has read since the client's bytes were last moved.
+func (c *simClient) recordReads() {
+	taken := c.near.bytesRead()
+	for before, r := range c.pending {
+		if r != nil && !r.read && r.endOffset <= taken {
+			r.read, r.readDespiteBacklog = true, c.windowFull || before >= 2*maxPendingAnswers
 		}
 	}
 }
 
-// take reads what a client takes now, and tells whether more may come.
-func (x *cross) take(c *crossClient) (b []byte, open bool) {
-	if !c.sips {
-		return c.far.all()
+// take reads what the client reads now, and reports whether more may follow.
+func (x *simulation) take(c *simClient) (b []byte, open bool) {
+	if !c.slowReader {
+		return c.far.readAvailable()
 	}
-	if time.Since(c.sipAt) < sipEvery {
+	if time.Since(c.lastSlowRead) < slowReadInterval {
 		return nil, true
 	}
-	c.sipAt = time.Now()
-	return c.far.some(sipBytes)
+	c.lastSlowRead = time.Now()
+	return c.far.readUpTo(slowReadBytes)
 }
 
-// lookForBreak takes that a client broke its connection in a write of the gateway's.
-func (c *crossClient) lookForBreak() {
-	if at := c.near.broken(); c.gone.IsZero() && !at.IsZero() {
-		c.gone = at
+// recordBreak records that the client broke its connection during a write by the gateway.
+func (c *simClient) recordBreak() {
+	if at := c.near.breakTime(); c.goneAt.IsZero() && !at.IsZero() {
+		c.goneAt = at
 	}
 }
 
-// due checks that no answer is late: "the time spent waiting for those before one does not count".
-func (x *cross) due(c *crossClient) {
-	var by time.Time
-	for _, r := range c.wants {
+// checkLateAnswers checks that no answer is late: "the time spent waiting for those before one does not count".
+func (x *simulation) checkLateAnswers(c *simClient) {
+	var deadline time.Time
+	for _, r := range c.pending {
 		if r == nil {
 			continue
 		}
-		if r.at.IsZero() || r.spoilt {
+		if r.sentAt.IsZero() || r.noAnswerDue {
 			return
 		}
-		if t := r.at.Add(r.for_); t.After(by) {
-			by = t
+		if end := r.sentAt.Add(r.timeout); end.After(deadline) {
+			deadline = end
 		}
-		if x.hold == nil && time.Now().After(by.Add(slackTime)) && time.Since(c.lastAnswer) > r.for_+slackTime {
-			x.fault("%s has no answer %v after its time", r.id, time.Since(by))
+		if x.paused == nil && time.Now().After(deadline.Add(answerSlack)) &&
+			time.Since(c.lastAnswerAt) > r.timeout+answerSlack {
+			x.failf("%s has no answer %v after its deadline", r.id, time.Since(deadline))
 		}
 	}
 }
 
-// nextAnswer takes the first whole answer from what has come: its line, or the value behind a '$'.
+// nextAnswer splits the first complete answer from b: its line, or '$' and the value of a bulk string.
 func nextAnswer(b []byte) (text string, rest []byte, ok bool) {
 	line, rest, ok := bytes.Cut(b, []byte("\r\n"))
 	if !ok || line[0] != '$' {
@@ -962,8 +995,8 @@
 	return "$" + string(rest[:n]), rest[n+2:], true
 }
 
-// answersIn counts the whole answers in what has come.
-func answersIn(b []byte) (n int) {
+// countAnswers counts the complete answers in b.
+func countAnswers(b []byte) (n int) {
 	for {
 		_, rest, ok := nextAnswer(b)
 		if !ok {
@@ -973,70 +1006,72 @@
 	}
 }
 
-// answered checks one answer of a client's, the next of those it waits for.
-func (x *cross) answered(c *crossClient) bool {
-	text, rest, ok := nextAnswer(c.in)
+// checkAnswer checks one answer of a client against the next pending command. It reports whether there was a complete
+// answer.
+func (x *simulation) checkAnswer(c *simClient) bool {
+	text, rest, ok := nextAnswer(c.received)
 	if !ok {
 		return false
 	}
-	c.in, c.lastAnswer = rest, time.Now()
+	c.received, c.lastAnswerAt = rest, time.Now()
 	if strings.HasPrefix(text, "-ERR protocol error") {
-		if !c.bad && (c.half == nil || time.Since(c.halfAt) < usualLimits.command-100*time.Millisecond) {
-			x.fault("a client that did nothing wrong got %q; it waits for %d answers, %d bytes are not written", text, len(c.wants), len(c.out))
+		if !c.malformed && (c.partial == nil || time.Since(c.partialAt) < defaultClientTimeouts.command-100*time.Millisecond) {
+			x.failf("a well-behaved client got %q; it waits for %d answers, %d bytes are not written", text,
+				len(c.pending), len(c.unwritten))
 		}
-		for _, r := range c.wants {
-			if r != nil && !r.spoilt && !r.at.IsZero() {
-				x.fault("%s got no answer before the error on what stands behind it", r.id)
+		for _, r := range c.pending {
+			if r != nil && !r.noAnswerDue && !r.sentAt.IsZero() {
+				x.failf("%s got no answer before the protocol error for the input after it", r.id)
 			}
 		}
-		c.bad, c.wants = true, nil
+		c.malformed, c.pending = true, nil
 		return true
 	}
-	if len(c.wants) == 0 {
-		if !c.bad {
-			x.fault("a client that waits for nothing got %q", text)
+	if len(c.pending) == 0 {
+		if !c.malformed {
+			x.failf("a client that waits for nothing got %q", text)
 		}
 		return true
 	}
-	r := c.wants[0]
-	c.wants = c.wants[1:]
+	r := c.pending[0]
+	c.pending = c.pending[1:]
 	switch {
 	case r == nil && text == "+PONG":
 	case r == nil, text == "+PONG":
-		x.fault("answers are out of order: %q", text)
+		x.failf("answers are out of order: %q", text)
 	case text[0] == '$':
 		if !strings.HasPrefix(text, "$v:"+r.id+":") {
-			x.fault("%s was served %.40q", r.id, text)
+			x.failf("%s was served %.40q", r.id, text)
 		}
 	case strings.HasPrefix(text, "-BUSY"):
-		if r.class != "look" && slices.ContainsFunc(r.runs, func(w *arrival) bool { return !w.never }) {
-			x.fault("%s (%s) was refused though it may have run", r.id, r.class)
+		if r.class != "look" && slices.ContainsFunc(r.arrivals, func(w *arrival) bool { return !w.neverRan }) {
+			x.failf("%s (%s) was refused though it may have run", r.id, r.class)
 		}
 	case text != "-ERR failed" && text != "-ERR internal error":
-		x.fault("%s got %q", r.id, text)
+		x.failf("%s got %q", r.id, text)
 	}
 	if r != nil {
-		r.answered = time.Now()
+		r.answeredAt = time.Now()
 	}
 	return true
 }
 
-// finish stops the gateway, if it was not, and checks that nothing is left.
-func (x *cross) finish() {
-	x.release()
+// finish stops the gateway if it is still running, and checks that nothing is left over.
+func (x *simulation) finish() {
+	x.resumeLoop()
 	x.stop()
 	x.settle()
-	if x.anySips() {
-		x.wait(killAfter + 2*sipEvery)
+	if x.slowReaderPending() {
+		x.wait(killAfter + 2*slowReadInterval)
 	}
 	for _, c := range x.clients {
-		c.sips = false
-		if c.slow {
-			c.slow, c.stalled = false, c.stalled || time.Since(c.slowAt) >= clientWrite-100*time.Millisecond
+		c.slowReader = false
+		if c.notReading {
+			c.notReading, c.stalled = false, c.stalled || time.Since(c.notReadingSince) >= clientWriteTimeout-100*time.Millisecond
 		}
 	}
-	x.wait(endWithin + 100*time.Millisecond)
-	if !x.ended || len(x.faults) > 0 {
+	x.wait(maxShutdownTime + 100*time.Millisecond)
+	if !x.ended || len(x.failures) > 0 {
 		return
 	}
 	for _, c := range x.clients {
@@ -1048,63 +1083,63 @@
 		}
 	}
 	synctest.Wait()
-	l := x.l
-	if n := len(l.requests) + len(l.ids) + len(l.clients) + l.held + l.pool.conns; n > 0 {
-		x.fault("left are %d requests, %d ids, %d clients, %d bytes, %d connections", len(l.requests), len(l.ids), len(l.clients),
-			l.held, l.pool.conns)
+	l := x.loop
+	if n := len(l.requests) + len(l.openIDs) + len(l.clients) + l.openCommandBytes + l.pool.connCount; n > 0 {
+		x.failf("left over: %d requests, %d ids, %d clients, %d bytes, %d connections", len(l.requests),
+			len(l.openIDs), len(l.clients), l.openCommandBytes, l.pool.connCount)
 	}
-	if x.fds > 0 {
-		x.fault("%d connections are still open", x.fds)
+	if x.openFDs > 0 {
+		x.failf("%d connections are still open", x.openFDs)
 	}
 }
 
-// play makes the steps on a gateway of its own and returns what was wrong, or "".
-func play(t *testing.T, s setting, steps []move) (wrong string) {
-	defer func() { // goroutines of a gateway that went wrong may be left
-		if p := recover(); p != nil && wrong == "" {
-			wrong = fmt.Sprint(p)
+// runScenario performs the actions on a new gateway and returns what went wrong, or "".
+func runScenario(t *testing.T, s scenario, steps []action) (failure string) {
+	defer func() { // goroutines of a failed gateway may be left
+		if p := recover(); p != nil && failure == "" {
+			failure = fmt.Sprint(p)
 		}
 	}()
 	synctest.Test(t, func(*testing.T) {
-		x, err := newCross(s)
+		x, err := newSimulation(s)
 		if err != nil {
-			wrong = err.Error()
+			failure = err.Error()
 			return
 		}
 		x.settle()
-		for i, m := range steps {
-			if x.do(m); x.ended || len(x.faults) > 0 {
-				if len(x.faults) > 0 {
-					wrong = fmt.Sprintf("step %d, %v: %s", i, m, x.faults[0])
+		for i, a := range steps {
+			if x.perform(a); x.ended || len(x.failures) > 0 {
+				if len(x.failures) > 0 {
+					failure = fmt.Sprintf("step %d, %v: %s", i, a, x.failures[0])
 				}
 				break
 			}
 		}
-		if wrong == "" {
-			if x.finish(); len(x.faults) > 0 {
-				wrong = "at the end: " + x.faults[0]
+		if failure == "" {
+			if x.finish(); len(x.failures) > 0 {
+				failure = "at the end: " + x.failures[0]
 			}
 		}
 	})
-	return wrong
+	return failure
 }
 
-// TestCrossings searches at random. By itself it plays the same sequences each time; with -rapid.checks and -rapid.seed
-// it goes on for as long and as far as wanted.
+// TestCrossings searches at random for races that violate an invariant. Without flags it runs the same sequences each
+// time. With -rapid.checks and -rapid.seed it runs as many other sequences as wanted.
 func TestCrossings(t *testing.T) {
-	searched := false
-	flag.Visit(func(f *flag.Flag) { searched = searched || strings.HasPrefix(f.Name, "rapid.") })
-	if !searched {
+	hasRapidFlags := false
+	flag.Visit(func(f *flag.Flag) { hasRapidFlags = hasRapidFlags || strings.HasPrefix(f.Name, "rapid.") })
+	if !hasRapidFlags {
 		for name, value := range map[string]string{"rapid.checks": "3000", "rapid.seed": "8", "rapid.nofailfile": "true"} {
-			was := flag.Lookup(name).Value.String()
+			previous := flag.Lookup(name).Value.String()
 			if err := flag.Set(name, value); err != nil {
 				t.Fatal(err)
 			}
-			defer flag.Set(name, was)
+			defer flag.Set(name, previous)
 		}
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		s := setting{
+		s := scenario{
 			Gateways: rapid.SampledFrom([]int{2, 30}).Draw(rt, "gateways"),
 			Sockets:  rapid.SampledFrom([]int{256, 112}).Draw(rt, "sockets"),
 			Rate:     rapid.SampledFrom([]int{1000, 8}).Draw(rt, "rate"),
@@ -1112,9 +1147,9 @@
 			Parallel: rapid.SampledFrom([]int{1, 0}).Draw(rt, "parallel"),
 			Open:     rapid.SampledFrom([]int{1000, 20}).Draw(rt, "open"),
 		}
-		steps := rapid.SliceOfN(moves(), 1, 60).Draw(rt, "steps")
-		if wrong := play(t, s, steps); wrong != "" {
-			rt.Fatalf("%+v\n%v\n%s", s, steps, wrong)
+		steps := rapid.SliceOfN(actions(), 1, 60).Draw(rt, "steps")
+		if failure := runScenario(t, s, steps); failure != "" {
+			rt.Fatalf("%+v\n%v\n%s", s, steps, failure)
 		}
 	})
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	connectWithin = 500 * time.Millisecond // to discovery
-	listMost      = 8 << 20                // bytes of a list: about 70,000 servers
-	headMost      = 64 << 10               // bytes of an answer's head
+	discoveryConnectTimeout = 500 * time.Millisecond // timeout for connecting to discovery
+	maxServerListBytes      = 8 << 20                // size limit of a server list, in bytes: about 70,000 servers
+	maxResponseHeaderBytes  = 64 << 10               // size limit of a response's headers, in bytes
 )
 
-// errOverbooked says that discovery is up and has turned a call away, as it has too many.
-var errOverbooked = errors.New("discovery has too many calls")
+// errDiscoveryBusy means that discovery is up but rejected a call because it has too many calls.
+var errDiscoveryBusy = errors.New("discovery rejected the call as overloaded")
 
-// errTooLong says that a list has more bytes than a gateway takes.
-var errTooLong = errors.New("the list is too long")
+// errListTooLong means that a server list is longer than maxServerListBytes.
+var errListTooLong = errors.New("server list is too long")
 
-// serverList is discovery's form of a list of servers.
+// serverList is a list of servers in discovery's JSON format.
 type serverList struct {
 	Version uint64        `json:"version"`
 	Full    bool          `json:"full"`
@@ -56,88 +56,92 @@
 	case "draining":
 		return decide.Draining, nil
 	case "removed":
-		return decide.Gone, nil
+		return decide.Removed, nil
 	}
-	return decide.Gone, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
+	return decide.Removed, fmt.Errorf("server %q: unknown state %q", e.ID, e.State)
 }
 
-// UnmarshalJSON reads an entry and refuses one that can't be used, which ends the reading of its list: a list is taken
-// whole or not at all, and one of millions of empty entries must not be held in memory, where each takes fifty times
-// the bytes that it has on the wire.
+// UnmarshalJSON decodes an entry and rejects an invalid one, which aborts the decoding of the whole list. A list is
+// accepted as a whole or not at all, and a list of millions of empty entries must not be held in memory, where each entry
+// takes fifty times its size on the wire.
 func (e *serverEntry) UnmarshalJSON(raw []byte) error {
 	type plain serverEntry
 	if err := json.Unmarshal(raw, (*plain)(e)); err != nil {
 		return err
 	}
 	if e.ID == "" {
-		return errors.New("a server has no id")
+		return errors.New("server without an id")
 	}
 	state, err := e.state()
 	if err != nil {
 		return err
 	}
-	if _, err := netip.ParseAddrPort(e.Addr); err != nil && state != decide.Gone {
+	if _, err := netip.ParseAddrPort(e.Addr); err != nil && state != decide.Removed {
 		return fmt.Errorf("server %q: %w", e.ID, err)
 	}
 	return nil
 }
 
-// fleetNews hands a list to the loop.
-type fleetNews struct {
+// listReceived passes a server list to the loop.
+type listReceived struct {
 	kind decide.FleetKind
 	list serverList
 }
 
-func (n fleetNews) apply(l *loop) { l.fleet(n.kind, n.list) }
+func (n listReceived) apply(l *loop) { l.updateServers(n.kind, n.list) }
 
-// watcher follows discovery. It makes the calls that a pacer of package watch names, and hands on what they tell.
-type watcher struct {
-	client  *http.Client
-	base    string
-	wait    time.Duration // of a watch; this and the next two: 0 for what package watch says
-	over    time.Duration // past its wait a watch is given up
-	check   time.Duration // a call that does not wait is given up, at first
-	agent   bool          // lists are pushed to an agent, which is asked here
-	known   bool          // the list is held already, as of the version
-	version uint64
-	pause   func(context.Context, time.Duration)
-	post    func(event)
-	hearing hearing // is told once discovery answers
-	metrics *telemetry.Metrics
-	log     *slog.Logger
+// discoveryWatcher keeps the server list up to date. It makes the calls to discovery that a pacer of package watch
+// schedules, and posts the lists that they return.
+type discoveryWatcher struct {
+	client *http.Client
+	url    string
+	// The next three times are the defaults of package watch if they are 0.
+	watchWait    time.Duration // how long a watch call waits for changes
+	watchGrace   time.Duration // timeout of a watch call, counted from the end of its wait
+	checkTimeout time.Duration // initial timeout of a call that does not wait
+	agent        bool          // the calls go to an agent, to which discovery pushes the lists
+	hasList      bool          // the gateway already has the list of this version
+	version      uint64
+	pause        func(context.Context, time.Duration)
+	post         func(event)
+	warmup       discoveryWarmup // notified when discovery answers
+	metrics      *telemetry.Metrics
+	log          *slog.Logger
 }
 
-func newWatcher(addr netip.AddrPort, post func(event), log *slog.Logger) *watcher {
-	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: connectWithin}).DialContext,
-		MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: headMost}
-	return &watcher{client: &http.Client{Transport: transport, CheckRedirect: stay}, base: "http://" + addr.String() + "/v1/servers",
-		pause: sleep, post: post, hearing: newHearing(), metrics: telemetry.New(), log: log}
+func newDiscoveryWatcher(addr netip.AddrPort, post func(event), log *slog.Logger) *discoveryWatcher {
+	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: discoveryConnectTimeout}).DialContext,
+		MaxIdleConns: 1, DisableCompression: true, MaxResponseHeaderBytes: maxResponseHeaderBytes}
+	return &discoveryWatcher{client: &http.Client{Transport: transport, CheckRedirect: refuseRedirect},
+		url: "http://" + addr.String() + "/v1/servers", pause: sleep, post: post, warmup: newDiscoveryWarmup(),
+		metrics: telemetry.New(), log: log}
 }
 
-// stay refuses redirects: lists come from the configured address and from nowhere else.
-func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// refuseRedirect refuses redirects: server lists come only from the configured address.
+func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// follow watches discovery at an address, and from each move on at the new one. A move calls off what waits at
-// the old address and begins with the whole list of the new one, only after the old watcher has ended: versions
-// of the two tell nothing of each other, so their changes must never be mixed. Until the new one answers, the
-// list last told stays.
+// followDiscovery watches discovery at the configured address, and after each move at the new address. A move cancels the
+// call to the old address. The watcher of the new address starts after the old one has ended, with the full list: the
+// versions of the two addresses are unrelated, so their changes must never be mixed. Until the new address answers, the
+// last list stays in use.
 //
-// At the start the watch goes on from the list that the gateway was started with, if that is a whole one: a fleet
-// that is restarted at once would else ask for every list twice, whole and then to be watched.
-func follow(ctx context.Context, cfg Config, moves <-chan netip.AddrPort, post func(event), m *telemetry.Metrics, hearing hearing, log *slog.Logger) {
-	addr, held := cfg.Discovery, cfg.Known
+// At startup the watch continues from the list in the configuration, if that is a full list. Otherwise a fleet that is
+// restarted all at once would request every list twice: once in full and once to watch it.
+func followDiscovery(ctx context.Context, cfg Config, addresses <-chan netip.AddrPort, post func(event),
+	metrics *telemetry.Metrics, warmup discoveryWarmup, log *slog.Logger) {
+	addr, known := cfg.Discovery, cfg.Known
 	for ctx.Err() == nil {
-		at, cancel := context.WithCancel(ctx)
-		w, ended := newWatcher(addr, post, log), make(chan struct{})
-		w.agent, w.hearing, w.metrics = !cfg.Settings.Decide.Subscribe, hearing, m
-		w.known, w.version = held.Full && len(held.Servers) > 0, held.Version
-		held = serverList{}
+		watchCtx, cancel := context.WithCancel(ctx)
+		w, ended := newDiscoveryWatcher(addr, post, log), make(chan struct{})
+		w.agent, w.warmup, w.metrics = !cfg.Settings.Decide.Subscribe, warmup, metrics
+		w.hasList, w.version = known.Full && len(known.Servers) > 0, known.Version
+		known = serverList{}
 		go func() {
 			defer close(ended)
-			w.run(at)
+			w.run(watchCtx)
 		}()
 		select {
-		case addr = <-moves:
+		case addr = <-addresses:
 		case <-ctx.Done():
 		}
 		cancel()
@@ -145,39 +149,41 @@
 	}
 }
 
-// run makes one call after the other until the context ends.
-func (w *watcher) run(ctx context.Context) {
+// run makes one call after another until the context ends.
+func (w *discoveryWatcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
-	begun, failing, long := time.Now(), false, false
-	pacer := watch.New(watch.Config{Agent: w.agent, Held: w.known, Version: w.version, Wait: w.wait, Over: w.over, Check: w.check},
+	started, failing, tooLong := time.Now(), false, false
+	pacer := watch.New(watch.Config{Agent: w.agent, HasList: w.hasList, Version: w.version, WatchWait: w.watchWait,
+		WatchGrace: w.watchGrace, CheckTimeout: w.checkTimeout},
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for ctx.Err() == nil {
-		call := pacer.Next(time.Since(begun))
-		url := w.base
-		if call.Kind != watch.Whole {
-			url = fmt.Sprintf("%s?after=%d&wait_ms=%d", w.base, call.After, call.Wait.Milliseconds())
+		call := pacer.Next(time.Since(started))
+		url := w.url
+		if call.Kind != watch.FullList {
+			url = fmt.Sprintf("%s?after=%d&wait_ms=%d", w.url, call.After, call.Wait.Milliseconds())
 		}
-		list, err := w.fetch(ctx, url, call.Within)
-		w.metrics.DiscoveryCalls.Inc(end(err).String())
-		step := pacer.Done(time.Since(begun), watch.Result{End: end(err), Version: list.Version, Full: list.Full, Entries: len(list.Servers)})
+		list, err := w.fetch(ctx, url, call.Timeout)
+		w.metrics.DiscoveryCalls.Inc(callOutcome(err).String())
+		step := pacer.Done(time.Since(started), watch.Result{Outcome: callOutcome(err), Version: list.Version,
+			Full: list.Full, Entries: len(list.Servers)})
 		err = cmp.Or(err, step.Err)
 		switch {
 		case ctx.Err() != nil:
-		case errors.Is(err, errTooLong) && !long: // calls alone never mend it
-			w.log.Error("the list of servers can't be taken, the last one stays", "err", err)
+		case errors.Is(err, errListTooLong) && !tooLong: // more calls won't fix this
+			w.log.Error("server list rejected, keeping the last one", "err", err)
 		case err != nil && !failing:
-			w.log.Warn("discovery is failing", "err", err)
+			w.log.Warn("call to discovery failed, retrying", "err", err)
 		}
-		failing, long = err != nil, errors.Is(err, errTooLong) || long && err != nil
-		if step.Take {
+		failing, tooLong = err != nil, errors.Is(err, errListTooLong) || tooLong && err != nil
+		if step.HasChanges {
 			kind := decide.FleetDelta
 			if list.Full {
 				kind = decide.FleetFull
 			}
-			w.post(fleetNews{kind, list})
+			w.post(listReceived{kind, list})
 		}
-		if step.Heard {
-			signal(w.hearing.heard)
+		if step.UpToDate {
+			signal(w.warmup.answered)
 		}
 		if step.Pause > 0 {
 			w.pause(ctx, step.Pause)
@@ -185,87 +191,90 @@
 	}
 }
 
-// end says how a call ended that fetch returned with err.
-func end(err error) watch.End {
-	var slow net.Error
+// callOutcome classifies the error that fetch returned for a call.
+func callOutcome(err error) watch.Outcome {
+	var netErr net.Error
 	switch {
 	case err == nil:
 		return watch.Answered
-	case errors.Is(err, errOverbooked):
+	case errors.Is(err, errDiscoveryBusy):
 		return watch.Refused
-	case errors.As(err, &slow) && slow.Timeout(): // context.DeadlineExceeded is one as well
+	case errors.As(err, &netErr) && netErr.Timeout(): // context.DeadlineExceeded is a net.Error too
 		return watch.TimedOut
 	}
 	return watch.Failed
 }
 
-// fetch makes one call, which is given up after within. That includes the body, but for an agent's: one that has begun to answer is
-// not silent, and gets the time that a long list takes on a busy machine. It fails with errOverbooked where discovery
-// turns it away and with errTooLong where the list has more than listMost bytes. An answer that is cut is an error: where
-// it has a length or is chunked, as that says so; where its end is that of the connection, as a reset is no end and an
-// object without its last brace no JSON. What is cut behind that brace has come whole; more behind it than blanks is an
-// error again.
-func (w *watcher) fetch(ctx context.Context, url string, within time.Duration) (serverList, error) {
-	call, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	limit := time.AfterFunc(within, func() { giveUp(context.DeadlineExceeded) })
-	defer limit.Stop()
-	req, err := http.NewRequestWithContext(call, http.MethodGet, url, nil)
+// fetch makes one call to discovery. The timeout covers the response's body too, except for an agent's. An agent that has
+// begun to answer is not silent, and gets the time that a long list takes on a busy machine. fetch fails with
+// errDiscoveryBusy if discovery rejects the call, and with errListTooLong if the list is longer than
+// maxServerListBytes.
+//
+// A truncated response is an error. A response with a length or with chunks shows the truncation by itself. Where the end
+// of the connection ends the response, a reset is not a regular end, and an object without its closing brace is not valid
+// JSON. A list that is cut off after that brace is complete. Anything but white space after the brace is an error.
+func (w *discoveryWatcher) fetch(ctx context.Context, url string, timeout time.Duration) (serverList, error) {
+	callCtx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	timer := time.AfterFunc(timeout, func() { cancel(context.DeadlineExceeded) })
+	defer timer.Stop()
+	req, err := http.NewRequestWithContext(callCtx, http.MethodGet, url, nil)
 	if err != nil {
-		return serverList{}, fmt.Errorf("making a call: %w", err)
+		return serverList{}, fmt.Errorf("creating the request: %w", err)
 	}
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return serverList{}, fmt.Errorf("calling discovery: %w", callError(call, err))
+		return serverList{}, fmt.Errorf("calling discovery: %w", callError(callCtx, err))
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusOK:
-		signal(w.hearing.begun)
+		signal(w.warmup.answering)
 		if w.agent {
-			limit.Reset(watch.AnswerWithin)
+			timer.Reset(watch.AnswerTimeout)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		io.CopyN(io.Discard, resp.Body, headMost) // so that the connection can be used again; an error only costs that
-		return serverList{}, fmt.Errorf("%w: %s", errOverbooked, resp.Status)
+		io.CopyN(io.Discard, resp.Body, maxResponseHeaderBytes) // allows reuse of the connection; an error only prevents that
+		return serverList{}, fmt.Errorf("%w: %s", errDiscoveryBusy, resp.Status)
 	default:
 		return serverList{}, fmt.Errorf("discovery answered %s", resp.Status)
 	}
 	list, err := readList(resp.Body, resp.ContentLength)
 	if err != nil {
-		return serverList{}, callError(call, err)
+		return serverList{}, callError(callCtx, err)
 	}
 	return list, nil
 }
 
-// callError is why a call failed with err: its time was over, or what err says.
-func callError(call context.Context, err error) error {
-	if cause := context.Cause(call); errors.Is(cause, context.DeadlineExceeded) {
+// callError returns why a call failed with err. If its timeout has passed, the result wraps context.DeadlineExceeded.
+func callError(callCtx context.Context, err error) error {
+	if cause := context.Cause(callCtx); errors.Is(cause, context.DeadlineExceeded) {
 		return fmt.Errorf("%w: %w", cause, err)
 	}
 	return err
 }
 
-// readList reads a list of length bytes, or up to the end where length is below 0.
+// readList reads a list of length bytes, or to the end of body if length is negative.
 func readList(body io.Reader, length int64) (serverList, error) {
-	if length > listMost {
-		return serverList{}, fmt.Errorf("%w: %d bytes, a gateway takes at most %d", errTooLong, length, listMost)
+	if length > maxServerListBytes {
+		return serverList{}, fmt.Errorf("%w: %d bytes, at most %d are accepted", errListTooLong, length, maxServerListBytes)
 	}
-	raw, err := io.ReadAll(io.LimitReader(body, listMost+1))
+	raw, err := io.ReadAll(io.LimitReader(body, maxServerListBytes+1))
 	if err != nil {
-		return serverList{}, fmt.Errorf("reading the list: %w", err)
+		return serverList{}, fmt.Errorf("reading the server list: %w", err)
 	}
-	if len(raw) > listMost {
-		return serverList{}, fmt.Errorf("%w: %d bytes and more, a gateway takes at most %d", errTooLong, listMost, listMost)
+	if len(raw) > maxServerListBytes {
+		return serverList{}, fmt.Errorf("%w: %d bytes and more, at most %d are accepted", errListTooLong, maxServerListBytes,
+			maxServerListBytes)
 	}
 	var list serverList
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return serverList{}, fmt.Errorf("reading the list: %w", err)
+		return serverList{}, fmt.Errorf("decoding the server list: %w", err)
 	}
 	return list, nil
 }
 
-// sleep waits, or less if the context ends.
+// sleep waits for d, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -275,11 +284,12 @@
 	}
 }
 
-// server is the entry in the module's words. The loop's clock counts from the Unix epoch, as start times do.
-func (e *serverEntry) server() decide.Server {
+// decideServer converts the entry to the decision engine's type. Start times count from the Unix epoch, as the loop's clock
+// does.
+func (e *serverEntry) decideServer() decide.Server {
 	state, err := e.state()
 	if err != nil {
-		state = decide.Gone // unreachable for a checked list
+		state = decide.Removed // unreachable for a decoded list, whose states UnmarshalJSON has checked
 	}
 	return decide.Server{ID: e.ID, Address: e.Addr, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, State: state,
 		Started: time.Duration(e.StartedMS) * time.Millisecond, Weight: e.Weight}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-const long = 30 * time.Second // an aim that no test reaches
+const longTarget = 30 * time.Second // a target latency that no test reaches
 
-// A request goes on as the client sent it, but for the time that is left.
-func TestServes(t *testing.T) {
+// A request must be forwarded as the client sent it, except that the deadline d is reduced to the remaining time.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
+	c := newHarness(t, longTarget, b).dial(t)
 	c.send("PING")
-	c.want("+PONG")
-	c.book("id-1")
+	c.expect("+PONG")
+	c.sendBook("id-1")
 	x := b.next(t)
 	if got := strings.Join(append(x.args[:3:3], x.args[4]), " "); got != "Q.DO "+customer+" id-1 BODY" {
 		t.Errorf("the server got %q", got)
@@ -27,30 +27,31 @@
 		err != nil || ms < 1 || ms >= 30000 {
 		t.Errorf("the server got the list %q", x.args[3])
 	}
-	x.answer(t, served("slot 4"))
-	c.want("$slot 4")
+	x.answer(t, servedReply("slot 4"))
+	c.expect("$slot 4")
 }
 
-// Answers come in the order of the commands, whoever is answered first.
+// Answers to pipelined commands must be sent in the order of the commands, even if a server answers a later one
+// first.
 func TestPipelinedAnswersKeepOrder(t *testing.T) {
 	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
-	c.look("one")
+	c := newHarness(t, longTarget, b).dial(t)
+	c.sendLook("one")
 	first := b.next(t)
-	c.look("two")
+	c.sendLook("two")
 	second := b.next(t)
 	c.send("PING")
-	second.answer(t, served("2"))
-	first.answer(t, served("1"))
-	c.want("$1")
-	c.want("$2")
-	c.want("+PONG")
+	second.answer(t, servedReply("2"))
+	first.answer(t, servedReply("1"))
+	c.expect("$1")
+	c.expect("$2")
+	c.expect("+PONG")
 }
 
-func TestBadCommandsAreAnswered(t *testing.T) {
+func TestInvalidCommandsGetErrors(t *testing.T) {
 	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
-	for _, words := range [][]string{
+	c := newHarness(t, longTarget, b).dial(t)
+	for _, args := range [][]string{
 		{"FLUSHALL"}, {""}, {"Q.ASK"}, {"Q.ASK", customer, "id", ""}, {"Q.ASK", "xyz", "id", "c=look,t=p,d=5"},
 		{"Q.ASK", customer, "id", "c=look,t=p"}, {"Q.ASK", customer, "id", "c=look,t=p,d=x"},
 		{"Q.ASK", customer, "id", "c=look,t=p,d=NaN"}, {"Q.ASK", customer, "id", "c=none,t=p,d=50"},
@@ -59,76 +60,77 @@
 		{"Q.ASK", customer, "id", "c=look,t=p,d=50,units=-1"}, {"Q.ASK", customer, "id", "c=look,d=5,d=6,t=p"},
 		{"Q.ASK", customer, "id", "c=look,t=p,d=50,first=9999999999"}, {"Q.ASK", customer, "id", "c=look,t=p,d=50", "x", "y"},
 	} {
-		c.send(words...)
+		c.send(args...)
 		if got := c.read(); !strings.HasPrefix(got, "-ERR ") {
-			t.Errorf("%q: got %q, want an error", words, got)
+			t.Errorf("%q: got %q, want an error", args, got)
 		}
 	}
-	c.look("good") // the connection lives
-	b.next(t).answer(t, served("v"))
-	c.want("$v")
+	c.sendLook("good") // the connection is still usable
+	b.next(t).answer(t, servedReply("v"))
+	c.expect("$v")
 }
 
-// Broken framing and values over 64 KiB get an error and an end, and never a panic: the parsing library
-// indexes out of range on lengths below nothing or near the largest number.
-func TestBrokenFramingEndsTheConnection(t *testing.T) {
-	r := newRig(t, long, newBackend(t))
+// Malformed framing and values over 64 KiB must get an error and a close, and must not cause a panic. The parsing
+// library indexes out of range on negative lengths and on lengths near the largest integer.
+func TestMalformedFramingClosesConnection(t *testing.T) {
+	h := newHarness(t, longTarget, newBackend(t))
 	for name, raw := range map[string]string{
 		"inline": "PING\r\n", "no bulk": "*1\r\n:5\r\n", "count": "*x\r\n",
 		"negative": "*1\r\n$-9999\r\n", "largest": "*1\r\n$9223372036854775807\r\n",
 		"oversized": "*1\r\n$70000\r\n" + strings.Repeat("x", 70000),
 	} {
-		c := r.dial(t)
-		c.raw(raw)
+		c := h.dial(t)
+		c.sendRaw(raw)
 		if got := c.read(); !strings.HasPrefix(got, "-ERR protocol error") {
 			t.Errorf("%s: got %q, want a protocol error", name, got)
 		}
 		if got := c.read(); strings.HasPrefix(got, "-") || strings.HasPrefix(got, "+") {
-			t.Errorf("%s: got %q, want the end", name, got)
+			t.Errorf("%s: got %q, want the connection closed", name, got)
 		}
 	}
-	c := r.dial(t)
+	c := h.dial(t)
 	c.send("PING")
-	c.want("+PONG")
+	c.expect("+PONG")
 }
 
-// A request that may have run at one cell must not run at another, and gets no promise.
-func TestKeyedRequestStaysInItsCell(t *testing.T) {
+// A keyed request that may have run in one cell must not be sent to another cell. The client must get ERR failed and not
+// BUSY, which would promise that the request did not run.
+func TestKeyedRequestIsNotRepeatedInAnotherCell(t *testing.T) {
 	a, b := newBackend(t), newBackend(t)
-	c := newRig(t, long, a, b).dial(t)
-	c.book("id-1")
+	c := newHarness(t, longTarget, a, b).dial(t)
+	c.sendBook("id-1")
 	other := make(chan *backend, 1)
 	go func() {
-		mine, its := a, b
+		used, unused := a, b
 		var x exchange
 		select {
 		case x = <-a.got:
 		case x = <-b.got:
-			mine, its = b, a
+			used, unused = b, a
 		}
-		other <- its
-		for ; x.conn != nil; x = <-mine.got {
+		other <- unused
+		for ; x.conn != nil; x = <-used.got {
 			if x.args != nil {
 				x.conn.Close()
 			}
 		}
 	}()
-	c.want("-ERR failed")
+	c.expect("-ERR failed")
 	if o := <-other; len(o.got) > 0 {
 		t.Errorf("the other cell got %q", (<-o.got).args)
 	}
 }
 
-// What never ran may be refused, and the client is told when to come back.
-func TestNeverRanIsRefused(t *testing.T) {
+// A request that certainly did not run is refused, with a time after which the client may retry.
+func TestRequestThatNeverRanIsRefused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close() // connections are refused
+	ln.Close() // connections to it are refused
 	for name, b := range map[string]*backend{"busy": newBackend(t), "refused": {addr: ln.Addr().String()}} {
-		c := newRig(t, long, b).dial(t)
-		c.book("id-1")
+		c := newHarness(t, longTarget, b).dial(t)
+		c.sendBook("id-1")
 		if name == "busy" {
 			go func() {
 				for x := range b.got {
@@ -139,16 +141,16 @@
 			}()
 		}
 		if got := c.read(); !strings.HasPrefix(got, "-BUSY ") {
-			t.Errorf("%s: got %q, want a refusal with advice", name, got)
+			t.Errorf("%s: got %q, want a refusal with a retry time", name, got)
 		}
 	}
 }
 
-// A failed safe request is tried again, and one that breaks late is too.
-func TestSafeRequestIsTriedAgain(t *testing.T) {
+// A safe request must be retried if its connection breaks after it was sent.
+func TestSafeRequestIsRetried(t *testing.T) {
 	a, b := newBackend(t), newBackend(t)
-	c := newRig(t, long, a, b).dial(t)
-	c.look("id-1")
+	c := newHarness(t, longTarget, a, b).dial(t)
+	c.sendLook("id-1")
 	for i := 0; ; i++ {
 		var x exchange
 		select {
@@ -156,22 +158,22 @@
 		case x = <-b.got:
 		}
 		switch {
-		case x.args == nil: // the broken connection's end
+		case x.args == nil: // the end of the broken connection
 		case i == 0:
 			x.conn.Close()
 		default:
-			x.answer(t, served("again"))
-			c.want("$again")
+			x.answer(t, servedReply("again"))
+			c.expect("$again")
 			return
 		}
 	}
 }
 
-// A silent server must not hold a request past its time, and the attempt is given up by its connection's end.
-func TestSilentServer(t *testing.T) {
+// A silent server must not delay a request past its deadline. The gateway closes the connection to end the attempt.
+func TestSilentServerDoesNotDelayRequest(t *testing.T) {
 	b := newBackend(t)
-	c := newRig(t, 300*time.Millisecond, b).dial(t)
-	c.look("id-1")
+	c := newHarness(t, 300*time.Millisecond, b).dial(t)
+	c.sendLook("id-1")
 	b.next(t)
 	if got := c.read(); !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("got %q, want a refusal", got)
@@ -183,32 +185,32 @@
 	}
 }
 
-// A client that leaves takes its request with it: work that nobody waits for is called off.
-func TestClientGone(t *testing.T) {
+// If a client disconnects, its request must be cancelled, because nobody waits for the result.
+func TestDisconnectedClientsRequestIsCancelled(t *testing.T) {
 	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
-	c.look("id-1")
+	c := newHarness(t, longTarget, b).dial(t)
+	c.sendLook("id-1")
 	b.next(t)
 	c.conn.Close()
 	if x := b.next(t); x.args != nil {
-		t.Errorf("the server got %q, want the connection's end", x.args)
+		t.Errorf("the server got %q, want the connection closed", x.args)
 	}
 }
 
-// A server that drains gets nothing new, over an idle connection neither.
-func TestDrainedServerGetsNothing(t *testing.T) {
+// A draining server must get no new request, not even on an idle connection.
+func TestDrainingServerGetsNoRequests(t *testing.T) {
 	a := newBackend(t)
-	r := newRig(t, long, a)
-	c := r.dial(t)
-	c.look("id-1")
+	h := newHarness(t, longTarget, a)
+	c := h.dial(t)
+	c.sendLook("id-1")
 	x := a.next(t)
-	x.answer(t, served("v"))
-	c.want("$v")
-	r.reg.set(serverList{Version: 2, Full: true, Servers: entries("draining", a)})
-	if x := a.next(t); x.args != nil { // told: the idle connection is closed
+	x.answer(t, servedReply("v"))
+	c.expect("$v")
+	h.discovery.set(serverList{Version: 2, Full: true, Servers: entries("draining", a)})
+	if x := a.next(t); x.args != nil { // the update was applied: the idle connection is closed
 		t.Fatalf("the server got %q", x.args)
 	}
-	c.look("id-2")
+	c.sendLook("id-2")
 	if got := c.read(); !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("got %q, want a refusal", got)
 	}
@@ -217,28 +219,30 @@
 	}
 }
 
-// A stopping gateway still takes what comes for a moment, answers all that it has, and ends without error.
-func TestStopOwesNothing(t *testing.T) {
+// A stopping gateway must accept connections for a short time, answer all requests that it has taken, and return
+// without error.
+func TestShutdownAnswersAllRequests(t *testing.T) {
 	b := newBackend(t)
-	r := newRig(t, long/3, b) // with so long an aim a request still seems worth sending on after the stop
-	c := r.dial(t)
-	c.look("id-1")
+	// With such a long target, sending a request after the stop still seems worthwhile to the engine.
+	h := newHarness(t, longTarget/3, b)
+	c := h.dial(t)
+	c.sendLook("id-1")
 	x := b.next(t)
-	r.stop()
-	late := r.dial(t)
-	late.look("id-2")
+	h.stop()
+	late := h.dial(t)
+	late.sendLook("id-2")
 	y := b.next(t)
-	idle := r.dial(t)
+	idle := h.dial(t)
 	if got := idle.read(); got != "EOF" {
-		t.Errorf("an idle connection got %q, want its end", got)
-	}
-	x.answer(t, served("1"))
-	y.answer(t, served("2"))
-	c.want("$1")
-	late.want("$2")
-	c.want("EOF")
-	late.want("EOF")
-	if err := <-r.done; err != nil {
+		t.Errorf("an idle connection got %q, want it closed", got)
+	}
+	x.answer(t, servedReply("1"))
+	y.answer(t, servedReply("2"))
+	c.expect("$1")
+	late.expect("$2")
+	c.expect("EOF")
+	late.expect("EOF")
+	if err := <-h.done; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/gateway/guard.go
+++ b/internal/gateway/guard.go
@@ -7,111 +7,116 @@
 	"winghatch/internal/telemetry"
 )
 
-// rule names an invariant of the gateway, as it stands in the protocol.
+// rule names an invariant of the gateway, as in the protocol.
 type rule string
 
-// The invariants. What each forbids is prevented as well as counted, so that a fault elsewhere costs a request and not a
-// broken rule.
+// The invariants. A violation is prevented as well as counted, so that a fault elsewhere in the gateway fails a
+// request instead of breaking an invariant.
 const (
-	ruleOneAnswer   rule = "one_answer"   // a request gets its final answer once
-	ruleOwedAnswer  rule = "owed_answer"  // a connection is not closed by the gateway while answers are owed on it
-	ruleAfterAnswer rule = "after_answer" // no attempt begins after the final answer
-	ruleClientGone  rule = "client_gone"  // no attempt begins once the client has left
-	ruleDrain       rule = "drain"        // no attempt begins at a server that drains or is gone
-	ruleRepeat      rule = "repeat"       // what may have run is repeated only where and while that does no harm
-	ruleDeadline    rule = "deadline"     // an attempt tells no more time than the client has left
+	ruleOneAnswer   rule = "one_answer"   // a request gets exactly one final answer
+	ruleOwedAnswer  rule = "owed_answer"  // the gateway does not close a connection while answers are pending on it
+	ruleAfterAnswer rule = "after_answer" // no attempt starts after the final answer
+	ruleClientGone  rule = "client_gone"  // no attempt starts after the client has left
+	ruleDrain       rule = "drain"        // no attempt starts at a server that is draining or removed
+	ruleRepeat      rule = "repeat"       // a request that may have run is repeated only where and while that is harmless
+	ruleDeadline    rule = "deadline"     // an attempt passes on no more time than the client has left
 	ruleOrder       rule = "order"        // a connection to a server carries one attempt at a time
-	ruleStart       rule = "start"        // no request is taken before discovery was heard, or waited for
+	ruleStart       rule = "start"        // no request is taken before discovery has answered or the wait for it has ended
 	ruleBookkeeping rule = "bookkeeping"  // counts never fall below 0
 )
 
-// guard is where attempts, answers and closes pass. It knows the rules by themselves, not how the decision module keeps
-// them, and counts what it has to hold back.
+// guard checks attempts, answers and closes against the invariants. It does so independently of how the decision
+// engine keeps them, and counts each violation that it prevents.
 type guard struct {
 	log     *slog.Logger
 	metrics *telemetry.Metrics
 }
 
-// broken counts and logs a violation.
-func (g guard) broken(r rule, args ...any) {
+// reportViolation counts and logs a violation of an invariant.
+func (g guard) reportViolation(r rule, args ...any) {
 	g.metrics.Violations.Inc(string(r))
 	g.log.Error("invariant violated", append([]any{"rule", string(r)}, args...)...)
 }
 
-// begin reports whether an attempt may begin on a connection now. It is asked right before the first byte.
-func (g guard) begin(l *loop, c *upConn, a *attempt) bool {
-	r, broken := a.req, rule("")
+// allowAttempt reports whether an attempt may start on a connection now. It is called immediately before the first
+// byte is written.
+func (g guard) allowAttempt(l *loop, c *upstreamConn, a *attempt) bool {
+	r, violated := a.request, rule("")
 	switch {
-	case a.over || r.done:
-		broken = ruleAfterAnswer
+	case a.ended || r.done:
+		violated = ruleAfterAnswer
 	case r.client.closed():
-		broken = ruleClientGone
+		violated = ruleClientGone
 	case c.server.entry.State != decide.Serving:
-		broken = ruleDrain
-	case c.att != nil:
-		broken = ruleOrder
-	case a.until > r.deadline:
-		broken = ruleDeadline
+		violated = ruleDrain
+	case c.attempt != nil:
+		violated = ruleOrder
+	case a.deadline > r.deadline:
+		violated = ruleDeadline
 	case !mayRepeat(l, a, c.server):
-		broken = ruleRepeat
+		violated = ruleRepeat
 	default:
 		return true
 	}
-	g.broken(broken, "request", r.id, "client_id", r.cmd.id(), "class", r.cmd.req.Class, "server", c.server.id, "attempt", a.n)
+	g.reportViolation(violated, "request", r.id, "client_id", r.cmd.id(), "class", r.cmd.request.Class,
+		"server", c.server.id, "attempt", a.index)
 	return false
 }
 
-// mayRepeat reports whether a server may get an attempt, given the earlier attempts that may have run.
+// mayRepeat reports whether an attempt may be sent to a server, given the earlier attempts that may have run.
 func mayRepeat(l *loop, a *attempt, s *upstream) bool {
-	class := l.cfg.class(a.req.cmd.req.Class)
+	class := l.cfg.class(a.request.cmd.request.Class)
 	if class == nil || class.Effect == decide.Safe {
 		return true
 	}
-	for _, earlier := range a.req.attempts[:a.n] {
+	for _, earlier := range a.request.attempts[:a.index] {
 		if !earlier.mayHaveRun() {
 			continue
 		}
-		if class.Effect == decide.Unsafe || !class.SameGroup(earlier.place, s.entry) || l.clock.now()-earlier.at >= class.Window {
+		if class.Effect == decide.Unsafe || !class.SameGroup(earlier.serverAtStart, s.entry) ||
+			l.clock.now()-earlier.started >= class.Window {
 			return false
 		}
 	}
 	return true
 }
 
-// mayHaveRun reports whether an attempt may have had an effect, or may yet.
+// mayHaveRun reports whether an attempt may have had an effect, or may still have one.
 func (a *attempt) mayHaveRun() bool {
-	if a.over {
+	if a.ended {
 		return !a.outcome.NeverRan()
 	}
 	return a.conn != nil
 }
 
-// answer reports whether a request may get its final answer.
-func (g guard) answer(s *slot, r *request) bool {
+// allowAnswer reports whether a request may get its final answer.
+func (g guard) allowAnswer(s *slot, r *request) bool {
 	if !s.ready {
 		return true
 	}
-	g.broken(ruleOneAnswer, "request", r.id)
+	g.reportViolation(ruleOneAnswer, "request", r.id)
 	return false
 }
 
-// closeReason says why a connection of a client was closed.
+// closeReason is the reason why a client's connection was closed.
 type closeReason string
 
-// The reasons. The client's own leave nothing owed; memory is a bound that may cost answers, and says so.
+// The close reasons. When the client itself is the cause, no answer is owed. closeMemory enforces a memory limit and
+// is the only other reason that may lose answers.
 const (
 	closeLeft     closeReason = "client_left"
 	closeBroken   closeReason = "broken"
-	closeStalled  closeReason = "stalled"  // it took nothing for too long
-	closeMemory   closeReason = "memory"   // answers that it left unread filled their share of memory
-	closeDone     closeReason = "done"     // all was answered and has arrived
-	closeRoom     closeReason = "room"     // a newer connection needed its descriptor
-	closeShutdown closeReason = "shutdown" // the last moment of a shutdown
-	closeFull     closeReason = "full"     // there was no descriptor for it: it was not read
+	closeStalled  closeReason = "stalled"  // the client read nothing for too long
+	closeMemory   closeReason = "memory"   // the client's unread answers exceeded the memory limit for them
+	closeDone     closeReason = "done"     // all answers were sent and have arrived
+	closeRoom     closeReason = "room"     // a newer connection needed the descriptor
+	closeShutdown closeReason = "shutdown" // the final deadline of a shutdown
+	closeFull     closeReason = "full"     // no descriptor was free; nothing was read from the connection
 )
 
-// ownsAnswers reports whether a close for the reason may leave answers owed: the client will not take them.
-func (r closeReason) ownsAnswers() bool {
+// mayLosePendingAnswers reports whether a close for this reason may leave answers pending, because the client will
+// not read them.
+func (r closeReason) mayLosePendingAnswers() bool {
 	switch r {
 	case closeLeft, closeBroken, closeStalled, closeMemory:
 		return true
@@ -119,10 +124,10 @@
 	return false
 }
 
-// closing checks and counts that a connection of a client is closed.
-func (g guard) closing(c *client, reason closeReason) {
+// recordClose counts the close of a client's connection and reports a violation if answers are lost.
+func (g guard) recordClose(c *client, reason closeReason) {
 	g.metrics.ClientCloses.Inc(string(reason))
-	if owed := len(c.slots) + c.waiting + c.writing; owed > 0 && !reason.ownsAnswers() {
-		g.broken(ruleOwedAnswer, "reason", string(reason), "owed", owed)
+	if pending := len(c.slots) + c.backlogAnswers + c.writingAnswers; pending > 0 && !reason.mayLosePendingAnswers() {
+		g.reportViolation(ruleOwedAnswer, "reason", string(reason), "owed", pending)
 	}
 }
--- a/internal/gateway/hearing.go
+++ b/internal/gateway/hearing.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// A gateway that starts hears discovery before it takes clients in: what discovery has told counts from the first moment, and
-// the list that the process was started with may be old.
+// A starting gateway waits for discovery before it accepts clients: the list that the process was started with may be out
+// of date, and what discovery has announced since counts from the first request on.
 const (
-	hearFirst = 100 * time.Millisecond // discovery that says nothing is waited for so long
-	// An answer that has begun is waited for so long: reading a list of thousands of servers takes a while on a part of a
-	// core, and until it is read requests would go to servers that are known to drain.
-	hearWhole = 2 * time.Second
+	warmupFirstByteTimeout = 100 * time.Millisecond // limits the wait for the beginning of an answer
+	// Limits the wait for the end of an answer that has begun. Reading a list of thousands of servers takes a while on a
+	// fraction of a core. Before the list is read, requests would go to servers that are known to be draining.
+	warmupAnswerTimeout = 2 * time.Second
 )
 
-// hearing tells whether discovery has answered. Its signals may be given more than once.
-type hearing struct{ begun, heard chan struct{} }
+// discoveryWarmup signals that discovery has begun to answer, and that its answer was passed to the loop. Either signal
+// may be sent more than once.
+type discoveryWarmup struct{ answering, answered chan struct{} }
 
-func newHearing() hearing {
-	return hearing{begun: make(chan struct{}, 1), heard: make(chan struct{}, 1)}
+func newDiscoveryWarmup() discoveryWarmup {
+	return discoveryWarmup{answering: make(chan struct{}, 1), answered: make(chan struct{}, 1)}
 }
 
-// signal notes that discovery has begun to answer, or that its answer has been handed on.
+// signal sends a signal on c without blocking. If one is already pending, that is enough.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -26,20 +27,21 @@
 	}
 }
 
-// await waits for an answer: for as long as first until it begins, and then for as long as whole until it is handed on.
-func (h hearing) await(first, whole time.Duration) {
+// await waits for discovery's answer: at most firstByteTimeout until it begins, and then at most answerTimeout until it was
+// passed to the loop.
+func (w discoveryWarmup) await(firstByteTimeout, answerTimeout time.Duration) {
 	select {
-	case <-h.heard:
+	case <-w.answered:
 		return
-	case <-time.After(first):
+	case <-time.After(firstByteTimeout):
 	}
 	select {
-	case <-h.begun:
+	case <-w.answering:
 	default:
 		return
 	}
 	select {
-	case <-h.heard:
-	case <-time.After(whole):
+	case <-w.answered:
+	case <-time.After(answerTimeout):
 	}
 }
--- a/internal/gateway/inbox.go
+++ b/internal/gateway/inbox.go
@@ -2,31 +2,35 @@
 
 import "sync"
 
-// event is something that the loop is told by another goroutine.
+// event is a message from another goroutine to the loop.
 type event interface{ apply(l *loop) }
 
-// inbox holds events until the loop takes all of them in one wake-up. Whoever posts to a full one waits, so
-// that peers who send faster than the loop works wait in the kernel and not in memory. The loop never posts.
+// inbox queues events until the loop takes all of them at once. A goroutine that posts to a full inbox blocks. So if
+// peers send faster than the loop handles events, their messages wait in the kernel instead of in the gateway's
+// memory. The loop itself never posts.
 type inbox struct {
-	mu     sync.Mutex
-	room   sync.Cond
-	items  []event
-	closed bool
-	ready  chan struct{}
+	mu      sync.Mutex
+	notFull sync.Cond
+	items   []event
+	closed  bool
+	ready   chan struct{}
 }
 
-const inboxMost = 1024 // events: far more than a turn of the loop brings, and some MB if all are large
+// maxInboxEvents is the largest number of queued events. It is far more than arrives in one iteration of the loop, and
+// takes some MB if all events are large.
+const maxInboxEvents = 1024
 
 func newInbox() *inbox {
 	q := &inbox{ready: make(chan struct{}, 1)}
-	q.room.L = &q.mu
+	q.notFull.L = &q.mu
 	return q
 }
 
+// post queues an event. It blocks while the inbox is full, unless the inbox is closed.
 func (q *inbox) post(e event) {
 	q.mu.Lock()
-	for len(q.items) >= inboxMost && !q.closed {
-		q.room.Wait()
+	for len(q.items) >= maxInboxEvents && !q.closed {
+		q.notFull.Wait()
 	}
 	q.items = append(q.items, e)
 	first := len(q.items) == 1
@@ -39,20 +43,20 @@
 	}
 }
 
-// close lets those who wait go on: nothing is taken any more.
+// close unblocks all waiting posters. Events that are still queued or are posted later are not applied.
 func (q *inbox) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 }
 
-// take returns what has come in; spare is a former batch whose memory is used again.
+// take returns all queued events. The memory of spare, an earlier batch, is reused.
 func (q *inbox) take(spare []event) []event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	items := q.items
 	q.items = spare[:0]
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 	return items
 }
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -6,18 +6,19 @@
 	"testing"
 )
 
-// A client that sends more than may be owed at once and goes takes all of it with it: what waits for a connection
-// must not go out, and what was not handed on yet must not be begun.
-func TestClientThatSendsMuchAndGoes(t *testing.T) {
-	l := still(t, unreachable(t))
+// Guards against working on the requests of a client that sends more than the limit of pending answers and then
+// disconnects. Attempts that wait for a connection must not be sent, and commands that were not posted must not be
+// started.
+func TestDisconnectEndsPipelinedRequests(t *testing.T) {
+	l := newManualLoop(t, unreachableServers(t))
 	l.cfg.Settings.OpenCap = 0
 	var batch strings.Builder
-	const n = 4 * owedMost
+	const n = 4 * maxPendingAnswers
 	for i := range n {
-		batch.WriteString(asked(fmt.Sprint("id-", i)))
+		batch.WriteString(rawRequest(fmt.Sprint("id-", i)))
 	}
-	c, far := connect(t, l, usualLimits, batch.String())
-	until(t, l, func() bool { return len(c.slots) >= owedMost })
+	c, far := connectClient(t, l, defaultClientTimeouts, batch.String())
+	runUntil(t, l, func() bool { return len(c.slots) >= maxPendingAnswers })
 	waiting := map[*attempt]bool{}
 	for _, r := range l.requests {
 		for _, a := range r.attempts {
@@ -25,32 +26,32 @@
 		}
 	}
 	far.Close()
-	until(t, l, func() bool { return c.closed() })
-	l.drainTodo()
+	runUntil(t, l, func() bool { return c.closed() })
+	l.processPending()
 	if len(waiting) == 0 || len(l.requests) > 0 || l.nextID >= n {
-		t.Errorf("%d attempts waited; %d requests are open, %d of %d were begun", len(waiting), len(l.requests), l.nextID, n)
+		t.Errorf("%d attempts were waiting; %d requests are open; %d of %d were started", len(waiting), len(l.requests), l.nextID, n)
 	}
 	for a := range waiting {
-		if !a.over {
-			t.Errorf("attempt %d of %s still waits", a.n, a.req.id)
+		if !a.ended {
+			t.Errorf("attempt %d of request %s is still waiting", a.index, a.request.id)
 		}
 	}
 }
 
-// What was read ahead while too many answers were owed is answered once they are given.
-func TestReadAheadIsHandedOn(t *testing.T) {
+// Guards against commands that are read ahead while too many answers are pending and are then never processed.
+func TestCommandsReadAheadAreProcessed(t *testing.T) {
 	b := newBackend(t)
-	c := newRig(t, long, b).dial(t)
-	const n = 3 * owedMost
+	c := newHarness(t, longTarget, b).dial(t)
+	const n = 3 * maxPendingAnswers
 	go func() {
 		for x := range b.got {
 			if x.args != nil {
-				x.answer(t, served(x.args[idArg]))
+				x.answer(t, servedReply(x.args[idArg]))
 			}
 		}
 	}()
 	for i := range n {
-		c.look(fmt.Sprint("id-", i))
+		c.sendLook(fmt.Sprint("id-", i))
 	}
 	for i := range n {
 		if got, want := c.read(), fmt.Sprint("$id-", i); got != want && !strings.HasPrefix(got, "-BUSY") {
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -13,44 +13,47 @@
 	"winghatch/internal/platform"
 )
 
-// link is a stream connection as the gateway uses it: read by one goroutine, written by the loop without waiting.
-type link interface {
+// streamConn is a stream connection as the gateway uses it: one goroutine reads from it, and the loop writes to it without
+// blocking.
+type streamConn interface {
 	net.Conn
-	// TryWrite writes what is taken at once. Taking nothing is no error.
+	// TryWrite writes as much of b as is accepted without blocking. It is no error if nothing is accepted.
 	TryWrite(b []byte) (n int, err error)
-	// Quiet reports whether the connection is open and nothing has come on it that was not read.
+	// Quiet reports whether the connection is open and has no unread data.
 	Quiet() bool
-	// HungUp reports whether the peer has ended its sending or reset the connection, though what came before that
-	// may still be unread. False means that it is open, or that this can't be told.
+	// HungUp reports whether the remote end has closed its sending side or reset the connection. Earlier data may still
+	// be unread. False means that the connection is open, or that its state can't be determined.
 	HungUp() bool
-	// Unsent is how many bytes were written that the peer's machine has not taken yet; 0 if this can't be told.
+	// Unsent returns how many written bytes the remote machine has not acknowledged yet, or 0 if that can't be
+	// determined.
 	Unsent() int
-	// CloseWrite ends the sending.
+	// CloseWrite closes the sending side.
 	CloseWrite() error
 }
 
-// transientPause is how long a call that failed for a passing want of the machine is put off.
-const transientPause = 2 * time.Millisecond
+// transientRetryDelay is the pause before a system call is retried that failed because this machine temporarily lacked a
+// resource.
+const transientRetryDelay = 2 * time.Millisecond
 
-// socket is a link over TCP.
-type socket struct {
+// tcpConn is a streamConn over TCP.
+type tcpConn struct {
 	*net.TCPConn
 	raw syscall.RawConn
 }
 
-func newSocket(conn net.Conn) (socket, error) {
+func newTCPConn(conn net.Conn) (tcpConn, error) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		return socket{}, fmt.Errorf("connection %T is not TCP", conn)
+		return tcpConn{}, fmt.Errorf("connection %T is not TCP", conn)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return socket{}, fmt.Errorf("reaching the descriptor: %w", err)
+		return tcpConn{}, fmt.Errorf("getting the raw connection: %w", err)
 	}
-	return socket{tcp, raw}, nil
+	return tcpConn{tcp, raw}, nil
 }
 
-func (s socket) TryWrite(b []byte) (n int, err error) {
+func (s tcpConn) TryWrite(b []byte) (n int, err error) {
 	opErr := s.raw.Write(func(fd uintptr) bool {
 		for n < len(b) {
 			var m int
@@ -62,15 +65,15 @@
 				break
 			}
 		}
-		return true // never wait
+		return true // never block
 	})
-	if platform.IsTransient(err) { // the rest may be taken in a moment
+	if platform.IsTransient(err) { // the rest may be accepted in a moment
 		err = nil
 	}
 	return n, errors.Join(opErr, err)
 }
 
-func (s socket) Quiet() bool {
+func (s tcpConn) Quiet() bool {
 	var err error
 	opErr := s.raw.Control(func(fd uintptr) {
 		var b [1]byte
@@ -84,7 +87,7 @@
 	return opErr == nil && errors.Is(err, syscall.EAGAIN)
 }
 
-func (s socket) Unsent() int {
+func (s tcpConn) Unsent() int {
 	n := 0
 	var err error
 	opErr := s.raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
@@ -94,14 +97,14 @@
 	return n
 }
 
-func (s socket) HungUp() (gone bool) {
-	const signs = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
-	opErr := s.raw.Control(func(fd uintptr) { gone = pollNow(fd, unix.POLLRDHUP)&signs != 0 })
-	return opErr != nil || gone
+func (s tcpConn) HungUp() (hungUp bool) {
+	const hangUpEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	opErr := s.raw.Control(func(fd uintptr) { hungUp = pollNow(fd, unix.POLLRDHUP)&hangUpEvents != 0 })
+	return opErr != nil || hungUp
 }
 
-// pollNow returns what holds of a descriptor now, of the events asked for and those that poll always tells. It is 0 where this
-// can't be told.
+// pollNow returns the events that hold for a descriptor now, of those requested and those that poll always reports. It
+// returns 0 if they can't be determined.
 func pollNow(fd uintptr, events int16) int16 {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	n, err := unix.Poll(fds, 0)
@@ -111,37 +114,37 @@
 	return fds[0].Revents
 }
 
-// Read reads what has come, and waits for it if nothing has. A passing want of the machine is waited out: it says nothing of
-// the connection, and to end that would lose what is owed on it.
-func (s socket) Read(b []byte) (int, error) {
+// Read reads what has arrived, or blocks until something does. It retries while this machine temporarily lacks a
+// resource: that says nothing about the connection, and closing it would lose the answers that are pending on it.
+func (s tcpConn) Read(b []byte) (int, error) {
 	for {
 		n, err := s.readOnce(b)
 		if n > 0 || !platform.IsTransient(err) {
 			return n, err
 		}
-		time.Sleep(transientPause)
+		time.Sleep(transientRetryDelay)
 	}
 }
 
-func (s socket) readOnce(b []byte) (int, error) {
-	if err := platform.Fault(platform.CallRead); err != nil {
+func (s tcpConn) readOnce(b []byte) (int, error) {
+	if err := platform.InjectedError(platform.CallRead); err != nil {
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", err)}
 	}
-	return s.TCPConn.Read(b[:platform.Limit(platform.CallRead, len(b))])
+	return s.TCPConn.Read(b[:platform.LimitBytes(platform.CallRead, len(b))])
 }
 
 // Write writes all of b, unless the connection breaks or its write deadline passes.
-func (s socket) Write(b []byte) (int, error) {
-	if err := platform.Fault(platform.CallWrite); err != nil {
+func (s tcpConn) Write(b []byte) (int, error) {
+	if err := platform.InjectedError(platform.CallWrite); err != nil {
 		return 0, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", err)}
 	}
 	return s.TCPConn.Write(b)
 }
 
-// writeOnce makes one system call.
+// writeOnce makes one write system call.
 func writeOnce(fd uintptr, b []byte) (int, error) {
-	if err := platform.Fault(platform.CallWrite); err != nil {
+	if err := platform.InjectedError(platform.CallWrite); err != nil {
 		return 0, err
 	}
-	return syscall.Write(int(fd), b[:platform.Limit(platform.CallWrite, len(b))])
+	return syscall.Write(int(fd), b[:platform.LimitBytes(platform.CallWrite, len(b))])
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	bindRetry  = 20 * time.Millisecond
-	bindWithin = 20 * time.Second // a restarted gateway has to be ready within 30 s
-	// The socket to the peers is not given up: the gateway serves without it, and with it serves better.
-	peerBindRetry = 500 * time.Millisecond
-	forever       = time.Duration(math.MaxInt64)
+	bindRetryDelay = 20 * time.Millisecond
+	bindTimeout    = 20 * time.Second // a restarted gateway must be ready within 30 s
+	// The gateway never stops trying to open the peer socket. It can serve without peers, but serves better with
+	// them.
+	peerBindRetryDelay = 500 * time.Millisecond
+	forever            = time.Duration(math.MaxInt64)
 )
 
-// retryable reports that a socket can't be had now and may be later: the process before this one still has its address,
-// or the machine lacks something.
-func retryable(err error) bool { return platform.IsAddressHeld(err) || platform.IsTransient(err) }
+// retryable reports that opening a socket failed for a reason that may pass: the previous process still holds the
+// address, or the machine is short of a resource.
+func retryable(err error) bool { return platform.IsAddressInUse(err) || platform.IsTransient(err) }
 
-// bind opens a socket with open, again and again with a pause of retry as long as its error is retryable, for so long as
-// within. Any other error of open is returned at once, and the context's once that has ended.
-func bind[S any](ctx context.Context, retry, within time.Duration, open func() (S, error), log *slog.Logger) (S, error) {
-	begun := time.Now()
+// bind calls open until it returns a socket. While the error of open is retryable, bind tries again after each pause
+// of retry, for as long as timeout. It returns any other error of open at once, and the context's error once the
+// context has ended.
+func bind[S any](ctx context.Context, retry, timeout time.Duration, open func() (S, error), log *slog.Logger) (S, error) {
+	started := time.Now()
 	for tries := 0; ; tries++ {
 		s, err := open()
 		switch {
@@ -37,10 +39,10 @@
 			return s, ctx.Err()
 		case !retryable(err):
 			return s, err
-		case time.Since(begun) >= within:
-			return s, fmt.Errorf("no socket could be had for %v: %w", within, err)
+		case time.Since(started) >= timeout:
+			return s, fmt.Errorf("could not open a socket within %v: %w", timeout, err)
 		case tries == 0:
-			log.Warn("waiting for a socket", "err", err)
+			log.Warn("could not open a socket; retrying", "err", err)
 		}
 		sleep(ctx, retry)
 	}
@@ -48,22 +50,23 @@
 
 // listen opens the listener for clients.
 func listen(ctx context.Context, addr string, log *slog.Logger) (net.Listener, error) {
-	return bind(ctx, bindRetry, bindWithin, func() (net.Listener, error) { return platform.Listen(ctx, addr) }, log)
+	return bind(ctx, bindRetryDelay, bindTimeout, func() (net.Listener, error) { return platform.Listen(ctx, addr) }, log)
 }
 
-// peersOpen hands the loop the socket to the other gateways.
-type peersOpen struct{ link *peerLink }
+// peerSocketReady is the event that passes the socket for other gateways to the loop.
+type peerSocketReady struct{ link *peerSocket }
 
-func (p peersOpen) apply(l *loop) { l.peers = p.link }
+func (p peerSocketReady) apply(l *loop) { l.peers = p.link }
 
-// linkPeers opens the socket to the other gateways, reads from it, and closes it as the context ends; tasks counts what
-// it does meanwhile. While the socket can't be had the gateway serves without: words of peers may always come late or not
-// at all. Only an error that no waiting mends is returned.
-func linkPeers(ctx context.Context, tasks *sync.WaitGroup, cfg Config, post func(event), log *slog.Logger) error {
-	open := func() (*peerLink, error) {
-		p, err := openPeers(cfg.PeerListen, cfg.Peers)
+// startPeers opens the socket for messages between gateways, reads from it, and closes it when the context ends.
+// tasks counts the goroutine that does so. While the socket can't be opened the gateway serves without it, since
+// messages from peers may be late or lost at any time. startPeers returns an error only if it is one that retrying
+// can't fix.
+func startPeers(ctx context.Context, tasks *sync.WaitGroup, cfg Config, post func(event), log *slog.Logger) error {
+	open := func() (*peerSocket, error) {
+		p, err := openPeerSocket(cfg.PeerListen, cfg.Peers)
 		if err == nil {
-			p.most = int(min(peerOver*cfg.Settings.Decide.PeerIntake, 1<<30))
+			p.maxPerWindow = int(min(peerRateFactor*cfg.Settings.Decide.PeerIntake, 1<<30))
 		}
 		return p, err
 	}
@@ -75,24 +78,25 @@
 		if err != nil {
 			if link, err = bindPeers(ctx, open, log); err != nil {
 				if ctx.Err() == nil {
-					log.Error("no word to peers", "err", err)
+					log.Error("could not open the peer socket; serving without peers", "err", err)
 				}
 				return
 			}
 		}
 		defer link.conn.Close()
 		defer context.AfterFunc(ctx, func() { link.conn.Close() })()
-		post(peersOpen{link})
+		post(peerSocketReady{link})
 		link.read(post, log)
 	})
 	return nil
 }
 
-// bindPeers tries to open the socket to the other gateways, soon at first and then less often, until the context ends.
-func bindPeers(ctx context.Context, open func() (*peerLink, error), log *slog.Logger) (*peerLink, error) {
-	link, err := bind(ctx, bindRetry, bindWithin, open, log)
+// bindPeers tries to open the peer socket until the context ends, at short intervals first and then every
+// peerBindRetryDelay.
+func bindPeers(ctx context.Context, open func() (*peerSocket, error), log *slog.Logger) (*peerSocket, error) {
+	link, err := bind(ctx, bindRetryDelay, bindTimeout, open, log)
 	if err == nil || ctx.Err() != nil || !retryable(err) {
 		return link, err
 	}
-	return bind(ctx, peerBindRetry, forever, open, log)
+	return bind(ctx, peerBindRetryDelay, forever, open, log)
 }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// run starts a gateway as the program does.
-func run(t *testing.T, cfg Config) (*rig, context.CancelFunc) {
+// startGateway runs a gateway as the program does.
+func startGateway(t *testing.T, cfg Config) (*harness, context.CancelFunc) {
 	t.Helper()
-	r := &rig{addr: cfg.Listen.String(), done: make(chan error, 1)}
+	r := &harness{addr: cfg.Listen.String(), done: make(chan error, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
-	ending.Go(func() { r.done <- Run(ctx, cfg, nil, slog.New(slog.DiscardHandler)) })
+	stoppingGateways.Go(func() { r.done <- Run(ctx, cfg, nil, slog.New(slog.DiscardHandler)) })
 	t.Cleanup(cancel)
 	return r, cancel
 }
 
-// ready waits until the gateway answers PING.
-func (r *rig) ready(t *testing.T) {
+// waitReady waits until the gateway answers PING.
+func (r *harness) waitReady(t *testing.T) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		conn, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			continue
@@ -45,6 +45,7 @@
 	t.Fatal("the gateway does not answer PING")
 }
 
+// holdTCP occupies a free TCP port until the test ends.
 func holdTCP(t *testing.T) (net.Listener, netip.AddrPort) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,6 +56,7 @@
 	return ln, mustAddr(ln.Addr().String())
 }
 
+// holdUDP occupies a free UDP port until the test ends.
 func holdUDP(t *testing.T) (*net.UDPConn, netip.AddrPort) {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(mustAddr("127.0.0.1:0")))
@@ -65,83 +67,86 @@
 	return conn, mustAddr(conn.LocalAddr().String())
 }
 
-// freePort is an address on which nothing listens.
-func freePort(t *testing.T) netip.AddrPort {
+// freeAddr returns an address on which nothing listens.
+func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	ln, addr := holdTCP(t)
 	ln.Close()
 	return addr
 }
 
-// A process that is started while the one before it still has the port waits for it, and does not crash.
-func TestStartWaitsForTheClientsPort(t *testing.T) {
-	cfg := testConfig(t, long, nil)
+// Guards against a crash at start while the previous process still holds the port. The new process waits for the
+// port.
+func TestStartWaitsForClientPort(t *testing.T) {
+	cfg := testConfig(t, longTarget, nil)
 	cfg.Discovery = mustAddr(newBackend(t).addr)
 	var before net.Listener
 	before, cfg.Listen = holdTCP(t)
-	r, stop := run(t, cfg)
+	r, stop := startGateway(t, cfg)
 	select {
 	case err := <-r.done:
-		t.Fatalf("ended with %v while the port was held", err)
-	case <-time.After(3 * bindRetry): // enough for one that does not wait; one that waits passes at any speed
+		t.Fatalf("the gateway ended with %v while the port was in use", err)
+	// long enough for a gateway that does not wait to fail; one that waits passes however slow the machine is
+	case <-time.After(3 * bindRetryDelay):
 	}
 	before.Close()
-	r.ready(t)
+	r.waitReady(t)
 	stop()
 	if err := <-r.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// While the address for words of peers is held the gateway serves; once it is free, it speaks with them.
-func TestStartDoesNotWaitForThePeersPort(t *testing.T) {
-	cfg := testConfig(t, long, nil)
+// Guards against a start that waits for the peer port. The gateway serves while the port is in use, and opens the
+// peer socket once the port is free.
+func TestStartDoesNotWaitForPeerPort(t *testing.T) {
+	cfg := testConfig(t, longTarget, nil)
 	cfg.Discovery = mustAddr(newBackend(t).addr)
-	cfg.Listen = freePort(t)
+	cfg.Listen = freeAddr(t)
 	before, at := holdUDP(t)
 	peer, other := holdUDP(t)
 	cfg.PeerListen, cfg.Peers = at, []netip.AddrPort{at, other}
-	r, stop := run(t, cfg)
-	r.ready(t)
+	r, stop := startGateway(t, cfg)
+	r.waitReady(t)
 	before.Close()
-	r.ready(t)
-	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	r.waitReady(t)
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 		if errors.Is(err, syscall.EADDRINUSE) {
-			break // the gateway has it
+			break // the gateway holds the address
 		}
 		if err == nil {
 			conn.Close()
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the address stays free: %v", err)
+			t.Fatalf("the gateway did not open the peer address: %v", err)
 		}
 	}
 	if _, err := peer.WriteToUDPAddrPort([]byte("not a word"), at); err != nil {
 		t.Error(err)
 	}
-	r.ready(t)
+	r.waitReady(t)
 	stop()
 	if err := <-r.done; err != nil {
 		t.Error(err)
 	}
 }
 
-// A gateway that is told to end while its addresses are held ends without error.
-func TestStopWhileThePortIsHeld(t *testing.T) {
+// Guards against an error from a gateway that is stopped while its ports are in use.
+func TestStopWhilePortIsInUse(t *testing.T) {
 	for _, name := range []string{"clients", "peers"} {
-		cfg := testConfig(t, long, nil)
+		cfg := testConfig(t, longTarget, nil)
 		cfg.Discovery = mustAddr(newBackend(t).addr)
-		cfg.Listen = freePort(t)
+		cfg.Listen = freeAddr(t)
 		if name == "clients" {
 			_, cfg.Listen = holdTCP(t)
 		} else {
 			_, cfg.PeerListen = holdUDP(t)
 			cfg.Peers = []netip.AddrPort{cfg.PeerListen, mustAddr("127.0.0.1:1")}
 		}
-		r, stop := run(t, cfg)
+		r, stop := startGateway(t, cfg)
 		if name == "peers" {
-			r.ready(t)
+			r.waitReady(t)
 		}
 		stop()
 		if err := <-r.done; err != nil {
@@ -150,8 +155,8 @@
 	}
 }
 
-// The loop is given the socket to the peers, whether it was free at once or only later.
-func TestPeersAreLinked(t *testing.T) {
+// Guards against a loop that never receives the peer socket, whether its address was free at once or only later.
+func TestLoopReceivesPeerSocket(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		before, at := holdUDP(t)
 		if !late {
@@ -161,21 +166,22 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		posted := make(chan event, 1)
 		var tasks sync.WaitGroup
-		if err := linkPeers(ctx, &tasks, cfg, func(e event) { posted <- e }, slog.New(slog.DiscardHandler)); err != nil {
+		if err := startPeers(ctx, &tasks, cfg, func(e event) { posted <- e }, slog.New(slog.DiscardHandler)); err != nil {
 			t.Fatal(err)
 		}
 		before.Close()
-		l := still(t, nil)
+		l := newManualLoop(t, nil)
 		(<-posted).apply(l)
-		if link, ok := l.peers.(*peerLink); !ok || link.conn.LocalAddr().String() != at.String() {
-			t.Errorf("late %v: the loop has no socket", late)
+		if link, ok := l.peers.(*peerSocket); !ok || link.conn.LocalAddr().String() != at.String() {
+			t.Errorf("late %v: the loop did not receive the peer socket", late)
 		}
 		cancel()
-		tasks.Wait() // the reader ends
+		tasks.Wait() // the goroutine that reads from peers ends
 	}
 }
 
-// What no waiting mends is an error at once, and so is an address that stays held.
+// Guards against retrying forever: an error that waiting can't fix is returned at once, and an address that stays in
+// use ends in an error.
 func TestBindGivesUp(t *testing.T) {
 	odd := errors.New("odd")
 	for name, tc := range map[string]struct {
@@ -190,40 +196,41 @@
 		if !errors.Is(err, tc.err) || tries < tc.tries || (tc.tries == 1 && tries > 1) {
 			t.Errorf("%s: got %v after %d tries", name, err, tries)
 		}
-		if want := "no socket could be had for 1ms"; strings.Contains(err.Error(), want) != retryable(tc.err) {
+		if want := "could not open a socket within 1ms"; strings.Contains(err.Error(), want) != retryable(tc.err) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
 }
 
-// A gateway is ready whatever discovery does, and without a list of servers: a fleet that starts at once may find
-// discovery down, silent or with too many calls.
+// Guards against a gateway that is not ready because discovery is down, silent or overloaded, or because it has no
+// list of servers. Discovery may be in any of these states when a whole fleet starts at once.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	refusing := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	t.Cleanup(refusing.Close)
-	for name, addr := range map[string]netip.AddrPort{"down": freePort(t), "silent": mustAddr(newBackend(t).addr),
+	for name, addr := range map[string]netip.AddrPort{"down": freeAddr(t), "silent": mustAddr(newBackend(t).addr),
 		"refusing": mustAddr(strings.TrimPrefix(refusing.URL, "http://"))} {
 		for known, list := range map[string]serverList{"none known": {}, "empty": {Version: 3, Full: true},
 			"known": {Version: 3, Full: true, Servers: entries("up", newBackend(t))}} {
 			t.Run(name+", "+known, func(t *testing.T) {
-				cfg := testConfig(t, long, nil)
-				cfg.Known, cfg.Discovery, cfg.Listen = list, addr, freePort(t)
-				cfg.hearFor = time.Millisecond
-				r, _ := run(t, cfg)
-				r.ready(t)
+				cfg := testConfig(t, longTarget, nil)
+				cfg.Known, cfg.Discovery, cfg.Listen = list, addr, freeAddr(t)
+				cfg.warmupTimeout = time.Millisecond
+				r, _ := startGateway(t, cfg)
+				r.waitReady(t)
 			})
 		}
 	}
 }
 
-// What the machine lacks for a moment delays a start and does not end it, whichever documented error says so.
-func TestPassingWantDoesNotEndTheStart(t *testing.T) {
+// Guards against a start that fails on a transient shortage of resources, whichever of the documented errors reports
+// it.
+func TestTransientErrorDoesNotFailStart(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR} {
 		tries := 0
-		_, err := bind(context.Background(), time.Millisecond, patience, func() (int, error) {
+		_, err := bind(context.Background(), time.Millisecond, testTimeout, func() (int, error) {
 			if tries++; tries < 3 {
 				return 0, &net.OpError{Op: "listen", Err: errno}
 			}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,110 +17,114 @@
 	"winghatch/internal/telemetry"
 )
 
-// request is a client's request until its final answer is given and nothing of it is out.
+// request is a client's request. It is kept until its final answer is given and none of its attempts is in flight.
 type request struct {
-	id       string // the module's; a client's own ids may come twice
-	client   *client
-	slot     *slot
-	cmd      *command
-	attempts []*attempt
-	deadline time.Duration // of the final answer; no attempt tells more
-	begun    time.Duration
-	overdue  *timer
-	out      int // attempts that have not ended
-	done     bool
+	id           string // assigned by the gateway, for the decision engine; ids chosen by clients may repeat
+	client       *client
+	slot         *slot
+	cmd          *command
+	attempts     []*attempt
+	deadline     time.Duration // for the final answer; no attempt is given a later one
+	startedAt    time.Duration
+	overdueTimer *timer
+	inFlight     int // attempts that have not ended
+	done         bool
 }
 
-// messenger sends messages to other gateways by their numbers.
+// messenger sends messages to other gateways, which are addressed by their rank.
 type messenger interface {
-	tell(to int, text string) error
+	send(to int, text string) error
 }
 
-// dialer makes a connection to a server.
+// dialer connects to a server.
 type dialer func(ctx context.Context, addr string) (net.Conn, error)
 
-// loop owns the decision module and all that changes. Only its own goroutine touches it.
+// loop owns the decision engine and all mutable state of the gateway. Only its own goroutine accesses it.
 type loop struct {
-	cfg      Config
-	log      *slog.Logger
-	traced   bool // each request and connection is logged
-	metrics  *telemetry.Metrics
-	guard    guard
-	clock    clock
-	core     *decide.Gateway
-	in       *inbox
-	peers    messenger // nil where messages are not allowed
-	dial     dialer
-	timers   timers
-	todo     []decide.Event
-	requests map[string]*request
-	ids      map[string]struct{} // of the requests that are owed an answer, as their clients named them
-	nextID   uint64
-	pool     pool
-	clients  map[*client]struct{}
-	limits   clientLimits
-	ahead    chan struct{} // holds one for each connection that was taken, or is waited for, and is not counted yet
-	held     int           // bytes of the commands of open requests
-	unsent   int           // bytes of answers that clients have not taken
-	stopBy   time.Duration // 0, or when the last answers are due, as the gateway has been told to stop
-	closing  bool          // the listener is closed, and so are connections once nothing is owed on them
-	ready    bool          // discovery was heard, or waited for, so requests may be taken
-	accepted bool          // all connections that the listener took have been counted
-	restarts int
-	tasks    sync.WaitGroup     // the goroutines of connections
-	ctx      context.Context    // ends with the loop
-	cancel   context.CancelFunc // of ctx
+	cfg              Config
+	log              *slog.Logger
+	debugEnabled     bool // debug logging is on: each request and connection is logged
+	metrics          *telemetry.Metrics
+	guard            guard
+	clock            clock
+	engine           *decide.Gateway
+	inbox            *inbox
+	peers            messenger // nil if messages to peers are not allowed
+	dial             dialer
+	timers           timerHeap
+	pendingEvents    []decide.Event
+	requests         map[string]*request
+	openIDs          map[string]struct{} // client-chosen ids of the requests whose answers are pending
+	nextID           uint64
+	pool             pool
+	clients          map[*client]struct{}
+	clientTimeouts   clientTimeouts
+	pendingAccepts   chan struct{} // one token for each connection that is being accepted or is not yet in clients
+	openCommandBytes int           // bytes in the commands of open requests
+	unsentBytes      int           // bytes in answers that clients have not read yet
+	stopDeadline     time.Duration // when the last answers are due after a stop request; 0 before that
+	closing          bool          // the listener is closed, and so is each connection once no answer is pending
+	ready            bool          // discovery has answered, or the wait for it has ended, so requests may be taken
+	acceptDone       bool          // all connections that the listener accepted have been counted
+	restarts         int
+	tasks            sync.WaitGroup     // goroutines of connections
+	ctx              context.Context    // cancelled when the loop ends
+	cancel           context.CancelFunc // cancels ctx
 }
 
-// Results of requests, and the reasons of refusals and failures that are not the module's.
+// Results of requests, and the reasons for refusals and failures that the decision engine does not decide on.
 const (
 	resultServed    = "served"
 	resultRefused   = "refused"
 	resultFailed    = "failed"
-	resultAbandoned = "abandoned" // its client left
-
-	reasonStopping = "stopping"
-	reasonMemory   = "memory"
-	reasonOpenCap  = "open_cap"
-	reasonSameID   = "same_id"
-	reasonPanic    = "panic"
-	reasonOverdue  = "overdue"
-	reasonFault    = "client_fault" // its client sent what can't be read
+	resultAbandoned = "abandoned" // the client left
+
+	reasonStopping    = "stopping"
+	reasonMemory      = "memory"
+	reasonOpenCap     = "open_cap"
+	reasonSameID      = "same_id"
+	reasonPanic       = "panic"
+	reasonOverdue     = "overdue"
+	reasonClientFault = "client_fault" // the client sent malformed input
 )
 
 const (
-	deadlineMargin = 10 * time.Millisecond // an answer leaves so long before the client stops waiting: it
-	// covers the way from the client, whose clock began when it sent the request, and the way back
-	overdueAfter = 5 * time.Millisecond // past its end, a request that the module left open is failed
-	heldPart     = 4                    // of the memory limit goes to open commands; beyond it new requests are refused
+	// Answers are sent this long before the client stops waiting. The margin covers the network delay in both
+	// directions: the client's clock starts when it sends the request.
+	deadlineMargin = 10 * time.Millisecond
+	// A request that the engine leaves open this long past its deadline is failed.
+	overdueGrace = 5 * time.Millisecond
+	// Open commands may hold this fraction (1/4) of the memory limit; beyond it new requests are refused.
+	commandMemoryDivisor = 4
 )
 
 func newLoop(cfg Config, log *slog.Logger) (*loop, error) {
-	l := &loop{cfg: cfg, log: log, clock: newClock(), in: newInbox(), requests: map[string]*request{},
-		ids: map[string]struct{}{}, clients: map[*client]struct{}{}, limits: usualLimits,
-		ahead: make(chan struct{}, acceptAhead), dial: platform.DialTCP, metrics: telemetry.New()}
-	l.traced = log.Enabled(context.Background(), slog.LevelDebug)
+	l := &loop{cfg: cfg, log: log, clock: newClock(), inbox: newInbox(), requests: map[string]*request{},
+		openIDs: map[string]struct{}{}, clients: map[*client]struct{}{}, clientTimeouts: defaultClientTimeouts,
+		pendingAccepts: make(chan struct{}, acceptBacklog), dial: platform.DialTCP, metrics: telemetry.New()}
+	l.debugEnabled = log.Enabled(context.Background(), slog.LevelDebug)
 	l.guard = guard{log: log, metrics: l.metrics}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	l.pool = newPool(l, cfg)
-	if err := l.startCore(); err != nil {
+	if err := l.startEngine(); err != nil {
 		return nil, err
 	}
-	l.fleet(decide.FleetStale, cfg.Known)
-	l.drainTodo()
+	l.updateServers(decide.FleetStale, cfg.Known)
+	l.processPending()
 	return l, nil
 }
 
-func (l *loop) startCore() error {
-	core, err := decide.New(l.cfg.Settings.Decide, l.cfg.Seed+int64(l.restarts))
+// startEngine creates the decision engine. After a restart it gets another random seed.
+func (l *loop) startEngine() error {
+	engine, err := decide.New(l.cfg.Settings.Decide, l.cfg.Seed+int64(l.restarts))
 	if err != nil {
-		return fmt.Errorf("starting the decision module: %w", err)
+		return fmt.Errorf("starting the decision engine: %w", err)
 	}
-	l.core = core
+	l.engine = engine
 	return nil
 }
 
-// run handles events until the gateway has stopped and owes nothing.
+// run handles events until the gateway has stopped and no answer is pending.
 func (l *loop) run() {
 	wakeup := time.NewTimer(time.Hour)
 	defer wakeup.Stop()
@@ -132,93 +136,98 @@
 			wakeup.Reset(time.Hour)
 		}
 		select {
-		case <-l.in.ready:
-			batch = l.in.take(batch)
+		case <-l.inbox.ready:
+			batch = l.inbox.take(batch)
 			l.metrics.InboxEvents.Set(len(batch))
 			for i, e := range batch {
-				batch[i] = nil // what it holds can go
+				batch[i] = nil // lets the garbage collector free the event
 				e.apply(l)
-				l.drainTodo()
+				l.processPending()
 			}
 		case <-wakeup.C:
 		}
 		l.fireTimers()
-		l.measure()
+		l.updateGauges()
 	}
 }
 
-// measure brings the gauges up to date.
-func (l *loop) measure() {
+// updateGauges sets the gauges to the current values.
+func (l *loop) updateGauges() {
 	l.metrics.OpenRequests.Set(len(l.requests))
 	l.metrics.ClientConnections.Set(len(l.clients))
-	l.metrics.ServerConnections.Set(l.pool.conns)
-	l.metrics.UnsentBytes.Set(l.unsent)
-	if l.unsent < 0 || l.held < 0 || l.pool.conns < 0 {
-		l.guard.broken(ruleBookkeeping, "unsent", l.unsent, "held", l.held, "server_connections", l.pool.conns)
+	l.metrics.ServerConnections.Set(l.pool.connCount)
+	l.metrics.UnsentBytes.Set(l.unsentBytes)
+	if l.unsentBytes < 0 || l.openCommandBytes < 0 || l.pool.connCount < 0 {
+		l.guard.reportViolation(ruleBookkeeping, "unsent", l.unsentBytes, "held", l.openCommandBytes,
+			"server_connections", l.pool.connCount)
 	}
 }
 
-// shut ends what is left of attempts that nobody waits for, closes all connections to servers, and returns when the
-// goroutines of connections have ended. The loop must have finished: no client is open.
-func (l *loop) shut() {
+// shutdown ends the remaining attempts, whose results nobody waits for, closes all connections to servers, and
+// returns when the goroutines of connections have ended. It must be called after run has returned, when no client is
+// connected.
+func (l *loop) shutdown() {
 	l.cancel()
 	for _, r := range l.requests {
 		if !r.done {
-			l.guard.broken(ruleOwedAnswer, "request", r.id, "reason", "end of the process")
+			l.guard.reportViolation(ruleOwedAnswer, "request", r.id, "reason", "end of the process")
 		}
 		for _, a := range r.attempts {
-			l.pool.giveUp(a, decide.Cancelled)
+			l.pool.abandon(a, decide.Cancelled)
 		}
 	}
-	for c := range l.pool.all {
-		l.pool.close(c, serverShutdown)
+	for c := range l.pool.open {
+		l.pool.close(c, serverCloseShutdown)
 	}
-	l.in.close()
+	l.inbox.close()
 	l.tasks.Wait()
-	for _, e := range l.in.take(nil) {
-		if d, ok := e.(dialed); ok {
+	for _, e := range l.inbox.take(nil) {
+		if d, ok := e.(dialDone); ok {
 			d.discard(l)
 		}
 	}
 }
 
-// feed queues an event for the module. What an action brings about at once waits until the actions before it
-// are carried out.
-func (l *loop) feed(ev decide.Event) { l.todo = append(l.todo, ev) }
+// enqueue queues an event for the engine. Events that result from an action are handled after the actions before it
+// have been performed.
+func (l *loop) enqueue(ev decide.Event) { l.pendingEvents = append(l.pendingEvents, ev) }
 
-func (l *loop) drainTodo() {
-	for i := 0; i < len(l.todo); i++ {
-		if l.todo[i] == nil {
-			continue // dropped by a restart
+// processPending passes the queued events to the engine and performs the resulting actions, until none is left.
+func (l *loop) processPending() {
+	for i := 0; i < len(l.pendingEvents); i++ {
+		if l.pendingEvents[i] == nil {
+			continue // removed by a restart of the engine
 		}
-		for _, a := range l.handle(l.todo[i]) {
+		for _, a := range l.handle(l.pendingEvents[i]) {
 			l.perform(a)
 		}
 	}
-	clear(l.todo)
-	l.todo = l.todo[:0]
+	clear(l.pendingEvents)
+	l.pendingEvents = l.pendingEvents[:0]
 }
 
-// handle hands an event to the module. Should the module panic, every request still gets its one answer and
-// the gateway goes on as after a restart; without this a single bad event would lose all that is open.
+// handle passes an event to the engine. If the engine panics, every open request is answered with an error and the
+// gateway continues with a new engine. Without this, a single faulty event would lose all open requests.
 func (l *loop) handle(ev decide.Event) (actions []decide.Action) {
-	core := l.core
+	engine := l.engine
 	defer func() {
 		if p := recover(); p != nil {
-			l.log.Error("the decision module panicked", "panic", p, "stack", string(debug.Stack()))
-			l.restart(core)
+			l.log.Error("decision engine panicked", "panic", p, "stack", string(debug.Stack()))
+			l.restart(engine)
 		}
 	}()
-	return core.Handle(l.clock.now(), ev)
+	return engine.Handle(l.clock.now(), ev)
 }
 
-func (l *loop) restart(broken *decide.Gateway) {
-	if l.core != broken {
+// restart replaces an engine that has panicked, and fails all open requests.
+func (l *loop) restart(failed *decide.Gateway) {
+	if l.engine != failed {
 		return
 	}
 	l.restarts++
-	if err := l.startCore(); err != nil {
-		l.log.Error("no new decision module", "err", err) // the settings were good before
+	if err := l.startEngine(); err != nil {
+		// Unexpected, because the same settings were accepted at the start.
+		l.log.Error("restarting the decision engine failed", "err", err)
 		return
 	}
 	for _, r := range l.requests {
@@ -228,15 +237,15 @@
 			l.pool.cancel(a)
 		}
 	}
-	clear(l.todo) // all of it was about what is over
-	l.feed(decide.FleetUpdate{Kind: decide.FleetFull, Servers: l.pool.listed()})
+	clear(l.pendingEvents) // these events refer to the state of the old engine
+	l.enqueue(decide.FleetUpdate{Kind: decide.FleetFull, Servers: l.pool.currentServers()})
 }
 
-// perform carries out what the module wants.
+// perform carries out an action of the engine.
 func (l *loop) perform(a decide.Action) {
 	switch a := a.(type) {
 	case decide.Send:
-		l.send(a)
+		l.startAttempt(a)
 	case decide.Cancel:
 		if r := l.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			l.pool.cancel(r.attempts[a.Attempt])
@@ -244,7 +253,7 @@
 	case decide.Refuse:
 		if r := l.requests[a.ID]; r != nil {
 			l.metrics.Refusals.Inc(string(a.Reason))
-			l.answer(r, resultRefused, string(a.Reason), busy(a.RetryAfter))
+			l.answer(r, resultRefused, string(a.Reason), busyReply(a.RetryAfter))
 		}
 	case decide.Fail:
 		if r := l.requests[a.ID]; r != nil {
@@ -252,27 +261,29 @@
 			l.answer(r, resultFailed, string(a.Reason), redcon.AppendError(nil, "ERR failed"))
 		}
 	case decide.SetTimer:
-		core := l.core
+		engine := l.engine
 		l.schedule(a.At, func() {
-			if core == l.core { // else it was set before a restart
-				l.feed(decide.TimerFired{Token: a.Token})
+			if engine == l.engine { // otherwise the timer was set before a restart of the engine
+				l.enqueue(decide.TimerFired{Token: a.Token})
 			}
 		})
-	case decide.Tell:
+	case decide.SendToPeer:
 		if l.peers == nil {
 			return
 		}
-		if err := l.peers.tell(a.To, a.Text); err != nil {
-			l.log.Debug("a message was not sent", "err", err) // as if lost
+		if err := l.peers.send(a.To, a.Text); err != nil {
+			l.log.Debug("message to peer not sent", "err", err) // handled like a lost message
 		}
 	case decide.Log:
 		l.log.Info(a.Text)
 	default:
-		l.log.Error("the module wants what this gateway does not do", "action", fmt.Sprintf("%T", a))
+		l.log.Error("unsupported action of the decision engine", "action", fmt.Sprintf("%T", a))
 	}
 }
 
-func busy(after time.Duration) []byte {
+// busyReply is the refusal of a request. If after is positive, the client may retry after that time, rounded up to
+// milliseconds.
+func busyReply(after time.Duration) []byte {
 	if after <= 0 {
 		return redcon.AppendError(nil, "BUSY")
 	}
@@ -280,16 +291,16 @@
 	return redcon.AppendError(nil, "BUSY "+strconv.FormatInt(int64(ms), 10))
 }
 
-// accept takes a request that has been read whole.
-func (l *loop) accept(c *client, s *slot, cmd *command) {
-	if reason := l.noRoom(cmd); reason != "" {
+// acceptRequest takes a request that has been read completely.
+func (l *loop) acceptRequest(c *client, s *slot, cmd *command) {
+	if reason := l.rejectReason(cmd); reason != "" {
 		l.metrics.Answers.Inc(resultRefused)
 		l.metrics.Refusals.Inc(reason)
-		c.reply(s, busy(l.cfg.Settings.Decide.Limits.MaxRetryAfter))
+		c.reply(s, busyReply(l.cfg.Settings.Decide.Limits.MaxRetryAfter))
 		l.flush(c)
 		return
 	}
-	if _, open := l.ids[cmd.id()]; open { // two of one id must never meet one another's answer
+	if _, open := l.openIDs[cmd.id()]; open { // two requests with the same id must never receive each other's answers
 		l.metrics.Answers.Inc(resultFailed)
 		l.metrics.Failures.Inc(reasonSameID)
 		c.reply(s, redcon.AppendError(nil, "ERR a request with this id is open"))
@@ -298,32 +309,32 @@
 	}
 	l.nextID++
 	r := &request{id: strconv.FormatUint(l.nextID, 36), client: c, slot: s, cmd: cmd}
-	s.req = r
+	s.request = r
 	l.requests[r.id] = r
-	l.ids[cmd.id()] = struct{}{}
-	l.held += cmd.size()
-	deadline := cmd.came + min(cmd.wait, cmd.limit) - deadlineMargin
-	if l.stopBy > 0 {
-		deadline = min(deadline, l.stopBy)
-	}
-	r.overdue = l.schedule(deadline+overdueAfter, func() { l.overdue(r) })
-	r.deadline, r.begun = deadline, l.clock.now()
-	if l.traced {
-		l.log.Debug("request taken", "request", r.id, "client_id", cmd.id(), "connection", c.id, "class", cmd.req.Class,
-			"left", deadline-r.begun, "waited", r.begun-cmd.came)
-	}
-	ev := cmd.req
+	l.openIDs[cmd.id()] = struct{}{}
+	l.openCommandBytes += cmd.size()
+	deadline := cmd.receivedAt + min(cmd.timeout, cmd.maxTimeout) - deadlineMargin
+	if l.stopDeadline > 0 {
+		deadline = min(deadline, l.stopDeadline)
+	}
+	r.overdueTimer = l.schedule(deadline+overdueGrace, func() { l.failOverdue(r) })
+	r.deadline, r.startedAt = deadline, l.clock.now()
+	if l.debugEnabled {
+		l.log.Debug("request accepted", "request", r.id, "client_id", cmd.id(), "connection", c.id, "class", cmd.request.Class,
+			"left", deadline-r.startedAt, "waited", r.startedAt-cmd.receivedAt)
+	}
+	ev := cmd.request
 	ev.ID, ev.Deadline = r.id, deadline
-	l.feed(ev)
+	l.enqueue(ev)
 }
 
-// noRoom is the reason why this gateway can't take a request at all, or empty.
-func (l *loop) noRoom(cmd *command) string {
+// rejectReason returns the reason why this gateway can't take a request at all, or "".
+func (l *loop) rejectReason(cmd *command) string {
 	open := l.cfg.Settings.OpenCap
 	switch {
-	case l.stopBy > 0 && l.clock.now() >= l.stopBy: // there is no time to send anything on before the end
+	case l.stopDeadline > 0 && l.clock.now() >= l.stopDeadline: // no time is left to send it to a server
 		return reasonStopping
-	case l.held+cmd.size() > l.cfg.MemoryMB<<20/heldPart:
+	case l.openCommandBytes+cmd.size() > l.cfg.MemoryMB<<20/commandMemoryDivisor:
 		return reasonMemory
 	case open > 0 && len(l.requests) >= open:
 		return reasonOpenCap
@@ -331,134 +342,136 @@
 	return ""
 }
 
-// overdue fails a request that the module has not ended in time. The client must get its one answer before
-// it stops waiting, whatever became of the request.
-func (l *loop) overdue(r *request) {
+// failOverdue fails a request that the engine has not ended in time. In every case the client must get its one answer
+// before it stops waiting.
+func (l *loop) failOverdue(r *request) {
 	if r.done {
 		return
 	}
-	l.log.Error("a request was left open past its deadline", "class", r.cmd.req.Class, "attempts", len(r.attempts))
+	l.log.Error("request left open past its deadline", "class", r.cmd.request.Class, "attempts", len(r.attempts))
 	l.fail(r, reasonOverdue)
 }
 
-// fail ends a request without the module's word.
+// fail ends a request without a decision of the engine.
 func (l *loop) fail(r *request, reason string) {
 	l.metrics.Failures.Inc(reason)
 	l.answer(r, resultFailed, reason, redcon.AppendError(nil, "ERR failed"))
-	l.feed(decide.ClientGone{ID: r.id})
+	l.enqueue(decide.ClientGone{ID: r.id})
 }
 
-// answer gives a request its final answer, once.
+// answer gives a request its final answer, unless it already has one.
 func (l *loop) answer(r *request, result, reason string, reply []byte) {
 	if r.done {
 		return
 	}
 	s := r.slot
-	l.end(r, result, reason)
-	if !l.guard.answer(s, r) {
+	l.finishRequest(r, result, reason)
+	if !l.guard.allowAnswer(s, r) {
 		return
 	}
 	r.client.reply(s, reply)
 	l.flush(r.client)
 }
 
-// abandon ends a request whose client has gone away.
+// abandon ends a request whose client has disconnected.
 func (l *loop) abandon(r *request) {
 	if r.done {
 		return
 	}
-	l.end(r, resultAbandoned, "")
-	l.feed(decide.ClientGone{ID: r.id})
+	l.finishRequest(r, resultAbandoned, "")
+	l.enqueue(decide.ClientGone{ID: r.id})
 }
 
-func (l *loop) end(r *request, result, reason string) {
+// finishRequest records the result of a request and releases what it held.
+func (l *loop) finishRequest(r *request, result, reason string) {
 	l.metrics.Answers.Inc(result)
-	if l.traced {
+	if l.debugEnabled {
 		l.log.Debug("request ended", "request", r.id, "client_id", r.cmd.id(), "result", result, "reason", reason,
-			"attempts", len(r.attempts), "out", r.out, "took", l.clock.now()-r.begun)
+			"attempts", len(r.attempts), "out", r.inFlight, "took", l.clock.now()-r.startedAt)
 	}
 	r.done = true
-	r.slot.req = nil
-	l.held -= r.cmd.size()
-	delete(l.ids, r.cmd.id())
-	l.cancelTimer(r.overdue)
-	l.drop(r)
+	r.slot.request = nil
+	l.openCommandBytes -= r.cmd.size()
+	delete(l.openIDs, r.cmd.id())
+	l.cancelTimer(r.overdueTimer)
+	l.forgetIfFinished(r)
 }
 
-// drop forgets a request that is over.
-func (l *loop) drop(r *request) {
-	if r.done && r.out == 0 {
+// forgetIfFinished removes a request that is done and has no attempt in flight.
+func (l *loop) forgetIfFinished(r *request) {
+	if r.done && r.inFlight == 0 {
 		delete(l.requests, r.id)
 	}
 }
 
-// send starts an attempt.
-func (l *loop) send(s decide.Send) {
+// startAttempt starts an attempt that the engine has decided on.
+func (l *loop) startAttempt(s decide.Send) {
 	r := l.requests[s.ID]
 	if r == nil {
 		return
 	}
 	now := l.clock.now()
-	a := &attempt{req: r, n: len(r.attempts), at: now, until: min(now+s.Timeout, r.deadline), before: s.Before,
-		server: l.pool.servers[s.Server]}
+	a := &attempt{request: r, index: len(r.attempts), started: now, deadline: min(now+s.Timeout, r.deadline),
+		sendBefore: s.WriteBefore, server: l.pool.servers[s.Server]}
 	if a.server != nil {
-		a.place = a.server.entry
+		a.serverAtStart = a.server.entry
 	}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	if a.n > 0 {
-		l.metrics.FurtherAttempts.Inc(l.cfg.class(r.cmd.req.Class).Effect.String())
+	r.inFlight++
+	if a.index > 0 {
+		l.metrics.FurtherAttempts.Inc(l.cfg.class(r.cmd.request.Class).Effect.String())
 	}
-	if l.traced {
-		l.log.Debug("attempt", "request", r.id, "attempt", a.n, "server", s.Server, "left", a.until-now)
+	if l.debugEnabled {
+		l.log.Debug("attempt started", "request", r.id, "attempt", a.index, "server", s.Server, "left", a.deadline-now)
 	}
-	if r.done || a.until <= now { // this gateway was held up, and there is no time left
-		l.ended(a, decide.Moot)
+	if r.done || a.deadline <= now { // this gateway was delayed, and no time is left
+		l.attemptEnded(a, decide.NotSent)
 		return
 	}
-	a.expiry = l.schedule(a.until, func() { l.pool.expire(a) })
+	a.deadlineTimer = l.schedule(a.deadline, func() { l.pool.expire(a) })
 	l.pool.start(a)
 }
 
-// ended tells the module how an attempt ended.
-func (l *loop) ended(a *attempt, o decide.Outcome) {
-	if a.over {
+// attemptEnded reports the outcome of an attempt to the engine.
+func (l *loop) attemptEnded(a *attempt, o decide.Outcome) {
+	if a.ended {
 		return
 	}
-	a.over, a.outcome = true, o
+	a.ended, a.outcome = true, o
 	l.metrics.Attempts.Inc(o.String())
-	if l.traced {
-		l.log.Debug("attempt ended", "request", a.req.id, "attempt", a.n, "outcome", o.String(), "took", l.clock.now()-a.at)
-	}
-	l.cancelTimer(a.expiry)
-	r := a.req
-	r.out--
-	ev := decide.AttemptEnded{ID: r.id, Attempt: a.n, Outcome: o, Took: l.clock.now() - a.at, Done: r.done}
+	if l.debugEnabled {
+		l.log.Debug("attempt ended", "request", a.request.id, "attempt", a.index, "outcome", o.String(),
+			"took", l.clock.now()-a.started)
+	}
+	l.cancelTimer(a.deadlineTimer)
+	r := a.request
+	r.inFlight--
+	ev := decide.AttemptEnded{ID: r.id, Attempt: a.index, Outcome: o, Elapsed: l.clock.now() - a.started, RequestDone: r.done}
 	if a.server != nil {
 		ev.Server = a.server.id
 	}
-	l.feed(ev)
-	l.drop(r)
+	l.enqueue(ev)
+	l.forgetIfFinished(r)
 }
 
-// served passes a value on and ends its attempt.
-func (l *loop) served(a *attempt, value []byte) {
-	l.answer(a.req, resultServed, "", value)
-	l.ended(a, decide.OK)
+// deliverValue answers a request with a server's value and ends the attempt.
+func (l *loop) deliverValue(a *attempt, value []byte) {
+	l.answer(a.request, resultServed, "", value)
+	l.attemptEnded(a, decide.OK)
 }
 
-// fleet takes a list of servers.
-func (l *loop) fleet(kind decide.FleetKind, list serverList) {
+// updateServers applies a list of servers from discovery or from the configuration.
+func (l *loop) updateServers(kind decide.FleetKind, list serverList) {
 	u := decide.FleetUpdate{Kind: kind, Version: list.Version}
 	listed := map[string]bool{}
 	for i := range list.Servers {
-		s := list.Servers[i].server()
+		s := list.Servers[i].decideServer()
 		listed[s.ID] = true
 		u.Servers = append(u.Servers, s)
 		l.pool.update(s, list.Servers[i].Addr)
 	}
 	if kind != decide.FleetDelta {
-		l.pool.keepOnly(listed)
+		l.pool.removeUnlisted(listed)
 	}
-	l.feed(u)
+	l.enqueue(u)
 }
--- a/internal/gateway/main_test.go
+++ b/internal/gateway/main_test.go
@@ -9,16 +9,16 @@
 	"go.uber.org/goleak"
 )
 
-// ending are the gateways that tests have told to stop. They take half a second and more for it, so that they are
-// waited for together.
-var ending sync.WaitGroup
+// stoppingGateways waits for the gateways that tests have stopped. Each takes half a second or more to stop, so
+// TestMain waits for all of them together.
+var stoppingGateways sync.WaitGroup
 
-// TestMain checks that nothing is left running of any gateway once it has stopped.
+// TestMain checks that no goroutine of a gateway is left running after all gateways have stopped.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	ending.Wait()
+	stoppingGateways.Wait()
 	if err := goleak.Find(); err != nil && code == 0 {
-		fmt.Fprintln(os.Stderr, "left running after the tests:", err)
+		fmt.Fprintln(os.Stderr, "goroutines left running after the tests:", err)
 		code = 1
 	}
 	os.Exit(code)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -16,36 +16,37 @@
 	"winghatch/decide"
 )
 
-const datagramMost = 256 // bytes of a message between gateways
+const maxDatagramBytes = 256 // size limit of a message between gateways, in bytes
 
-// A gateway takes in so many times the stated intake of messages, counted over peerSpan: the network keeps to that intake
-// itself, but whoever can send to the port may not, and every word on a new customer takes memory for seconds.
+// A gateway accepts at most peerRateFactor times the configured rate of peer messages (decide.Config.PeerIntake), counted
+// over peerRateWindow. The network itself keeps to the configured rate, but others who can send to the port may not, and
+// every message about a new customer takes memory for seconds.
 const (
-	peerOver = 4
-	peerSpan = time.Second
+	peerRateFactor = 4
+	peerRateWindow = time.Second
 
-	peerReadRetry = 5 * time.Millisecond // after a failed read, whose reason may stay for a while
+	peerReadRetryDelay = 5 * time.Millisecond // pause after a failed read, whose cause may last for a while
 )
 
-// peerLink is the socket to the other gateways.
-type peerLink struct {
-	conn  *net.UDPConn
-	raw   syscall.RawConn
-	ipv4  bool // the socket's family
-	addrs []netip.AddrPort
-	ranks map[netip.AddrPort]int
-	most  int // messages in a span; 0: no limit
+// peerSocket is the UDP socket for messages from and to the other gateways, the peers.
+type peerSocket struct {
+	conn         *net.UDPConn
+	raw          syscall.RawConn
+	ipv4         bool                   // the socket's address family is IPv4
+	addrs        []netip.AddrPort       // of the gateways, by rank
+	ranks        map[netip.AddrPort]int // of the gateways, by address
+	maxPerWindow int                    // messages accepted in each peerRateWindow; 0: no limit
 }
 
-// datagram hands a peer's message to the loop.
-type datagram struct {
-	from int
+// peerDatagram passes a peer's message to the loop.
+type peerDatagram struct {
+	from int // the sender's rank
 	text string
 }
 
-func (d datagram) apply(l *loop) { l.feed(decide.PeerMessage{From: d.from, Text: d.text}) }
+func (d peerDatagram) apply(l *loop) { l.enqueue(decide.PeerMessage{From: d.from, Text: d.text}) }
 
-func openPeers(listen netip.AddrPort, addrs []netip.AddrPort) (*peerLink, error) {
+func openPeerSocket(listen netip.AddrPort, addrs []netip.AddrPort) (*peerSocket, error) {
 	conn, err := platform.ListenUDP(listen)
 	if err != nil {
 		return nil, fmt.Errorf("listening for peers: %w", err)
@@ -53,34 +54,35 @@
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		conn.Close()
-		return nil, fmt.Errorf("reaching the descriptor: %w", err)
+		return nil, fmt.Errorf("getting the raw connection: %w", err)
 	}
-	p := &peerLink{conn: conn, raw: raw, ipv4: listen.Addr().Unmap().Is4(), addrs: addrs, ranks: map[netip.AddrPort]int{}}
+	p := &peerSocket{conn: conn, raw: raw, ipv4: listen.Addr().Unmap().Is4(), addrs: addrs, ranks: map[netip.AddrPort]int{}}
 	for i, a := range addrs {
 		p.ranks[a] = i
 	}
 	return p, nil
 }
 
-// tell sends a message to a gateway by its number. It may be lost, as any datagram; the loop calls it, so where the socket's
-// buffer is full it is dropped and not waited for.
-func (p *peerLink) tell(to int, text string) error {
-	if to < 0 || to >= len(p.addrs) || len(text) > datagramMost {
-		return fmt.Errorf("message of %d bytes to gateway %d can't be sent", len(text), to)
+// send sends a message to the gateway with the given rank. Like any datagram it may be lost. The loop calls send, so it
+// must not block: if the socket's buffer is full, the message is dropped.
+func (p *peerSocket) send(to int, text string) error {
+	if to < 0 || to >= len(p.addrs) || len(text) > maxDatagramBytes {
+		return fmt.Errorf("can't send a message of %d bytes to gateway %d", len(text), to)
 	}
 	var sendErr error
 	err := p.raw.Write(func(fd uintptr) bool {
 		sendErr = unix.Sendto(int(fd), []byte(text), unix.MSG_DONTWAIT, p.sockaddr(p.addrs[to]))
-		return true // never wait
+		return true // never block
 	})
 	if err := errors.Join(err, sendErr); err != nil {
-		return fmt.Errorf("telling gateway %d: %w", to, err)
+		return fmt.Errorf("sending to gateway %d: %w", to, err)
 	}
 	return nil
 }
 
-// sockaddr is an address in the form that the socket's family wants. An IPv6 socket takes IPv4 addresses as mapped ones.
-func (p *peerLink) sockaddr(addr netip.AddrPort) unix.Sockaddr {
+// sockaddr returns an address in the form that the socket's family requires. An IPv6 socket takes IPv4 addresses in their
+// IPv6-mapped form.
+func (p *peerSocket) sockaddr(addr netip.AddrPort) unix.Sockaddr {
 	ip := addr.Addr().Unmap()
 	if p.ipv4 && ip.Is4() {
 		return &unix.SockaddrInet4{Port: int(addr.Port()), Addr: ip.As4()}
@@ -88,31 +90,31 @@
 	return &unix.SockaddrInet6{Port: int(addr.Port()), Addr: ip.As16()}
 }
 
-// read hands on the messages of known gateways until the socket is closed. What comes from elsewhere or is
-// too long is dropped: anyone may send to the port.
-func (p *peerLink) read(post func(event), log *slog.Logger) {
-	buf := make([]byte, datagramMost+1)
-	taken, since := 0, time.Now()
+// read posts the messages of known gateways until the socket is closed. It drops messages that are too long or come from
+// elsewhere, because anyone may send to the port.
+func (p *peerSocket) read(post func(event), log *slog.Logger) {
+	buf := make([]byte, maxDatagramBytes+1)
+	accepted, windowStart := 0, time.Now()
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			log.Debug("reading from peers", "err", err)
-			time.Sleep(peerReadRetry)
+			log.Debug("failed to read a peer message", "err", err)
+			time.Sleep(peerReadRetryDelay)
 			continue
 		}
 		rank, ok := p.ranks[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if !ok || n > datagramMost {
+		if !ok || n > maxDatagramBytes {
 			continue
 		}
-		if now := time.Now(); now.Sub(since) >= peerSpan {
-			taken, since = 0, now
+		if now := time.Now(); now.Sub(windowStart) >= peerRateWindow {
+			accepted, windowStart = 0, now
 		}
-		if taken++; p.most > 0 && taken > p.most {
+		if accepted++; p.maxPerWindow > 0 && accepted > p.maxPerWindow {
 			continue
 		}
-		post(datagram{rank, string(buf[:n])})
+		post(peerDatagram{rank, string(buf[:n])})
 	}
 }
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -14,295 +14,307 @@
 )
 
 const (
-	lookEvery = 25 * time.Millisecond // a client's end that can't be read is looked for so often
-	dropMost  = 256 << 10             // bytes that are read and dropped after the last command
-	peekFresh = time.Millisecond      // a look at what is unread counts for so long
+	hangupCheckInterval = 25 * time.Millisecond // how often to check for a hangup while input is left unread
+	maxDiscardBytes     = 256 << 10             // bytes that are read and discarded after the last command
+	peekTTL             = time.Millisecond      // how long the result of peek stays valid
 )
 
-// clientLimits bound how long a connection may hold a descriptor and give nothing for it.
-type clientLimits struct {
-	command time.Duration // for the first command of a connection, and for the end of one that has begun
-	idle    time.Duration // between commands, with nothing open
+// clientTimeouts bound how long a connection may hold a descriptor without sending requests.
+type clientTimeouts struct {
+	command time.Duration // for the first command of a connection, and for the rest of a command that has begun
+	idle    time.Duration // between commands, while no request is open
 }
 
-// usualLimits: clients write a command in one go. Those that keep a connection use it again within seconds, or
-// have left it for good.
-var usualLimits = clientLimits{command: 2 * time.Second, idle: 5 * time.Second}
+// defaultClientTimeouts suits clients that write each command in one go. A client that keeps a connection uses it
+// again within seconds, or has abandoned it.
+var defaultClientTimeouts = clientTimeouts{command: 2 * time.Second, idle: 5 * time.Second}
 
-// reader reads the commands of one connection and hands them to the loop. It runs in a goroutine of its own.
-type reader struct {
-	c      *client
-	cfg    *Config
-	clock  clock
-	limits clientLimits
-	post   func(event)
-	buf    []byte        // of a command that is not whole yet
-	args   [][]byte      // memory for the next command's
-	since  time.Time     // the start, the last whole command, or the first byte of the one in buf
-	heard  bool          // there was a whole command
-	came   arrivals      // of the bytes in buf
-	quiet  bool          // nothing was unread in the kernel ...
-	seenAt time.Duration // ... at this time of the clock
-	looked time.Time     // when the client's end was last looked for while too many answers were owed
+// clientReader reads the commands of one connection and posts them to the loop. It runs in its own goroutine.
+type clientReader struct {
+	client   *client
+	cfg      *Config
+	clock    clock
+	timeouts clientTimeouts
+	post     func(event)
+	buf      []byte   // received bytes that are not processed yet
+	args     [][]byte // reused for the arguments of the next command
+	// start of the current timeout: when run began, at the last complete command, or at the first byte in buf
+	timeoutStart    time.Time
+	sawCommand      bool          // at least one complete command was received
+	times           receiveTimes  // of the bytes in buf
+	kernelEmpty     bool          // the connection was open and the kernel held no unread bytes ...
+	peekedAt        time.Duration // ... at this time of clock
+	hangupCheckedAt time.Time     // when checkHangup last checked the connection
 }
 
-// run reads until the client leaves, breaks the framing or lets a time limit pass. One read deadline holds all
-// limits. While too many answers are owed it reads ahead, up to a command's most: a client that sends much at once
-// and goes would else leave what it sent to be worked on.
-func (r *reader) run() {
-	r.buf, r.since = make([]byte, 0, clientBuffer), time.Now()
-	r.came.emptyAt = r.clock.at(r.c.accepted)
+// run reads until the client disconnects, sends malformed input or exceeds a timeout. One read deadline covers all
+// timeouts. While the limit of pending answers is reached, run reads ahead up to the size of one command. Without
+// that, the disconnect of a client that sends much at once would go unnoticed, and the gateway would still work on
+// what it sent.
+func (r *clientReader) run() {
+	r.buf, r.timeoutStart = make([]byte, 0, clientReadBuffer), time.Now()
+	r.times.lastEmpty = r.clock.at(r.client.acceptedAt)
 	for {
-		// The loop sets a mark, or takes what it has answered from what is owed, before it sets its own deadline; so
-		// the reader sets this one before it looks at either.
-		by := r.deadline()
-		err := r.c.conn.SetReadDeadline(by)
+		// To wake the reader, the loop first changes readState or pendingAnswers and then sets an expired read
+		// deadline. So the reader sets its own deadline before it looks at either of them; otherwise it could
+		// overwrite a wake-up that it has not seen.
+		deadline := r.readDeadline()
+		err := r.client.conn.SetReadDeadline(deadline)
 		if err == nil {
-			err = r.handOn()
+			err = r.postCommands()
 		}
 		if err == nil && r.mayStop() {
-			r.hand(commands{last: true})
-			r.stayUnread()
+			r.postBatch(commandBatch{last: true})
+			r.awaitAnswers()
 			return
 		}
-		waits := r.held() // for answers: what the client has sent meanwhile is not late
-		if err == nil && waits {
-			err = r.lookForEnd()
+		blocked := r.atPendingLimit() // blocked by pending answers, so the command in buf is not late
+		if err == nil && blocked {
+			err = r.checkHangup()
 		}
 		if err == nil {
 			err = r.read()
 		}
-		if waits || len(r.buf) == 0 && r.c.owed.Load() > 0 {
-			waits, r.since = true, time.Now()
+		if blocked || len(r.buf) == 0 && r.client.pendingAnswers.Load() > 0 {
+			blocked, r.timeoutStart = true, time.Now()
 		}
 		switch {
 		case err == nil:
 		case errors.Is(err, errFraming):
-			r.refuse(err, true)
+			r.sendProtocolError(err, true)
 			return
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			r.post(left{r.c})
+			r.post(clientDisconnected{r.client})
 			return
-		case waits, time.Now().Before(by): // or woken by the loop
+		case blocked, time.Now().Before(deadline): // blocked by pending answers, or woken by the loop
 		case len(r.buf) > 0:
-			r.refuse(errLate, false)
+			r.sendProtocolError(errCommandTimeout, false)
 			return
 		default:
-			r.hand(commands{last: true})
+			r.postBatch(commandBatch{last: true})
 			return
 		}
 	}
 }
 
-// mayStop reports whether a connection that is to end may do so now, all that was read whole having been handed on: nothing is
-// owed and nothing has come, or the client is slow to take what it is owed. What such a client goes on sending could not be
-// answered in time, and what is left unread is sent again elsewhere.
-func (r *reader) mayStop() bool {
-	switch mode := r.c.reading.get(); {
-	case mode == readOn:
+// mayStop reports whether a connection that is to end may stop reading now. All complete commands have been posted by
+// then. It may stop when no answer is pending and no input waits, or when the client is slow to accept its answers:
+// further commands of such a client could not be answered in time, and the client resends elsewhere what is left
+// unread.
+func (r *clientReader) mayStop() bool {
+	switch state := r.client.readState.load(); {
+	case state == readNormal:
 		return false
-	case mode == readNoMore:
+	case state == readStopped:
 		return true
 	case len(r.buf) > 0:
 		return false
-	case mode == readBegun:
+	case state == readFinishPartial:
 		return true
 	}
-	return r.c.slow.Load() || r.c.owed.Load() == 0 && r.c.conn.Quiet()
+	return r.client.slow.Load() || r.client.pendingAnswers.Load() == 0 && r.client.conn.Quiet()
 }
 
-// stayUnread stays with a connection of which nothing more is read, for as long as answers are owed on it: work for a client
-// that leaves must not go on.
-func (r *reader) stayUnread() {
-	for r.c.owed.Load() > 0 {
-		if r.waitForRoom() != nil {
-			r.post(left{r.c})
+// awaitAnswers watches a connection that is no longer read, until its pending answers are written. If the client
+// disconnects meanwhile, awaitAnswers reports it, so that work on its requests ends.
+func (r *clientReader) awaitAnswers() {
+	for r.client.pendingAnswers.Load() > 0 {
+		if r.waitForCapacity() != nil {
+			r.post(clientDisconnected{r.client})
 			return
 		}
 	}
 }
 
-var errLate = errors.New("protocol error: the command did not end in time")
+var errCommandTimeout = errors.New("protocol error: the command did not end in time")
 
-func (r *reader) deadline() time.Time {
-	if r.heard && len(r.buf) == 0 {
-		return r.since.Add(r.limits.idle)
+// readDeadline returns when the current timeout expires.
+func (r *clientReader) readDeadline() time.Time {
+	if r.sawCommand && len(r.buf) == 0 {
+		return r.timeoutStart.Add(r.timeouts.idle)
 	}
-	return r.since.Add(r.limits.command)
+	return r.timeoutStart.Add(r.timeouts.command)
 }
 
-// held reports that so many answers are owed that no further command is handed on.
-func (r *reader) held() bool { return r.c.owed.Load() >= owedMost && r.c.reading.get() < readBegun }
+// atPendingLimit reports that no further commands are processed because too many answers are pending.
+func (r *clientReader) atPendingLimit() bool {
+	return r.client.pendingAnswers.Load() >= maxPendingAnswers && r.client.readState.load() < readFinishPartial
+}
 
-// readMost is how many bytes may be read now. While so many answers are owed that nothing is handed on, a command's most is read
-// ahead, so that the client's end is found. Not so where the connection is to end: what is read then would have to be answered
-// before the platform ends the gateway, so only the rest of a command that has begun is read, and from a slow client as well.
-func (r *reader) readMost() int {
-	mode, held := r.c.reading.get(), r.held()
+// readBudget returns how many bytes may be read now. While the limit of pending answers is reached, it allows reading
+// ahead up to the size of one command, so that the client's disconnect is noticed. On a connection that is to end,
+// everything read has to be answered before the platform kills the gateway. There only the rest of a command that has
+// begun is read in three cases: the limit of pending answers is reached, the client is slow, or the read state is
+// readFinishPartial or later.
+func (r *clientReader) readBudget() int {
+	state, atLimit := r.client.readState.load(), r.atPendingLimit()
 	switch {
-	case mode >= readBegun, mode == readToRest && (held || r.c.slow.Load()):
-		return missing(r.buf)
-	case held:
-		return max(0, commandMost-len(r.buf))
+	case state >= readFinishPartial, state == readUntilIdle && (atLimit || r.client.slow.Load()):
+		return missingBytes(r.buf)
+	case atLimit:
+		return max(0, maxCommandBytes-len(r.buf))
 	}
-	return commandMost
+	return maxCommandBytes
 }
 
-// read takes what has come.
-func (r *reader) read() error {
-	most := r.readMost()
-	if most == 0 {
-		return r.waitForRoom()
+// read appends to buf what has arrived, and waits for input if there is none.
+func (r *clientReader) read() error {
+	budget := r.readBudget()
+	if budget == 0 {
+		return r.waitForCapacity()
 	}
 	if len(r.buf) == cap(r.buf) {
 		r.buf = slices.Grow(r.buf, cap(r.buf))
 	}
-	if !r.quiet || r.clock.now()-r.seenAt > peekFresh {
+	if !r.kernelEmpty || r.clock.now()-r.peekedAt > peekTTL {
 		r.peek()
 	}
 	room := r.buf[len(r.buf):cap(r.buf)]
-	r.came.beforeRead(r.seenAt, r.quiet)
-	n, err := r.c.conn.Read(room[:min(len(room), most)])
+	r.times.beforeRead(r.peekedAt, r.kernelEmpty)
+	n, err := r.client.conn.Read(room[:min(len(room), budget)])
 	if len(r.buf) == 0 && n > 0 {
-		r.since = time.Now()
+		r.timeoutStart = time.Now()
 	}
 	r.buf = r.buf[:len(r.buf)+n]
-	r.came.afterRead(r.clock.now(), n, len(r.buf))
+	r.times.afterRead(r.clock.now(), n, len(r.buf))
 	r.peek()
-	if err == nil && !r.quiet && r.c.conn.HungUp() { // work for a client that has left must not begin
+	if err == nil && !r.kernelEmpty && r.client.conn.HungUp() { // work for a client that has disconnected must not begin
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// peek looks whether anything is unread, be it the client's end.
-func (r *reader) peek() { r.seenAt, r.quiet = r.clock.now(), r.c.conn.Quiet() }
+// peek records whether anything is unread in the kernel, including the client's end of stream.
+func (r *clientReader) peek() { r.peekedAt, r.kernelEmpty = r.clock.now(), r.client.conn.Quiet() }
 
-// waitForRoom waits for a while until fewer answers are owed. The client's end lies behind what is unread, so it is
-// looked for.
-func (r *reader) waitForRoom() error {
-	look := time.NewTimer(lookEvery)
-	defer look.Stop()
+// waitForCapacity waits until the loop wakes the reader or hangupCheckInterval has passed. A disconnect of the client
+// is queued behind unread input, so it is checked for separately.
+func (r *clientReader) waitForCapacity() error {
+	timer := time.NewTimer(hangupCheckInterval)
+	defer timer.Stop()
 	select {
-	case <-r.c.wake:
-	case <-r.c.gone:
+	case <-r.client.wake:
+	case <-r.client.done:
 		return net.ErrClosed
-	case <-look.C:
+	case <-timer.C:
 	}
-	return r.lookForEnd()
+	return r.checkHangup()
 }
 
-// lookForEnd looks whether the client has gone, at most once in lookEvery. How often the loop wakes the reader must not
-// matter: with answers that come in quick succession the end would else be found only once everything before it is read.
-func (r *reader) lookForEnd() error {
+// checkHangup returns an error if the client has disconnected. It checks at most once per hangupCheckInterval,
+// however often the loop wakes the reader. With the check only after a full wait, answers in quick succession would
+// hide the disconnect until everything before it is read.
+func (r *clientReader) checkHangup() error {
 	now := time.Now()
-	if now.Sub(r.looked) < lookEvery {
+	if now.Sub(r.hangupCheckedAt) < hangupCheckInterval {
 		return nil
 	}
-	r.looked = now
-	if r.c.conn.HungUp() {
+	r.hangupCheckedAt = now
+	if r.client.conn.HungUp() {
 		return io.ErrUnexpectedEOF
 	}
 	return nil
 }
 
-// drainReads stays with a connection of which nothing more is taken for as long as answers are owed on it: work for a
-// client that leaves must not go on. What it still sends is dropped, so that its end can come through; of one that
-// sends much the end is looked for.
-func (r *reader) drainReads() {
-	drop := make([]byte, clientBuffer)
-	for most := dropMost; r.c.owed.Load() > 0; {
-		if most <= 0 {
-			if r.waitForRoom() != nil {
+// drainReads watches a connection from which no more commands are accepted, until its pending answers are written. If
+// the client disconnects meanwhile, drainReads reports it, so that work on its requests ends. Input is read and
+// discarded, so that the disconnect behind it is noticed. After maxDiscardBytes, input is left unread and checkHangup
+// looks for the disconnect.
+func (r *clientReader) drainReads() {
+	buf := make([]byte, clientReadBuffer)
+	for remaining := maxDiscardBytes; r.client.pendingAnswers.Load() > 0; {
+		if remaining <= 0 {
+			if r.waitForCapacity() != nil {
 				break
 			}
 			continue
 		}
-		err := r.c.conn.SetReadDeadline(time.Now().Add(lookEvery))
+		err := r.client.conn.SetReadDeadline(time.Now().Add(hangupCheckInterval))
 		if err == nil {
 			var n int
-			n, err = r.c.conn.Read(drop)
-			most -= n
+			n, err = r.client.conn.Read(buf)
+			remaining -= n
 		}
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			break
 		}
 	}
-	if r.c.owed.Load() > 0 {
-		r.post(left{r.c})
+	if r.client.pendingAnswers.Load() > 0 {
+		r.post(clientDisconnected{r.client})
 	}
 }
 
-// handOn hands on the commands that are whole, until too many answers are owed.
-func (r *reader) handOn() error {
-	for len(r.buf) > 0 && !r.held() {
-		got, used, fault := r.split()
-		r.hand(commands{got: got})
-		if fault != nil {
-			return fault
+// postCommands posts the complete commands in buf to the loop, until too many answers are pending.
+func (r *clientReader) postCommands() error {
+	for len(r.buf) > 0 && !r.atPendingLimit() {
+		commands, used, err := r.parseBuffered()
+		r.postBatch(commandBatch{commands: commands})
+		if err != nil {
+			return err
 		}
 		if used == 0 {
 			break
 		}
-		r.heard, r.since = true, time.Now()
-		r.came.drop(used)
-		if r.buf = r.buf[:copy(r.buf, r.buf[used:])]; len(r.buf) == 0 && cap(r.buf) > clientBuffer {
-			r.buf = make([]byte, 0, clientBuffer)
+		r.sawCommand, r.timeoutStart = true, time.Now()
+		r.times.discard(used)
+		if r.buf = r.buf[:copy(r.buf, r.buf[used:])]; len(r.buf) == 0 && cap(r.buf) > clientReadBuffer {
+			r.buf = make([]byte, 0, clientReadBuffer)
 		}
 	}
 	return nil
 }
 
-// split reads the whole commands that the buffer begins with, as many as may be owed an answer at once.
-func (r *reader) split() (got []received, used int, err error) {
-	for used < len(r.buf) && len(got) < owedMost {
+// parseBuffered parses the complete commands at the start of buf, at most maxPendingAnswers of them. It returns them
+// with their total size in bytes.
+func (r *clientReader) parseBuffered() (commands []receivedCommand, used int, err error) {
+	for used < len(r.buf) && len(commands) < maxPendingAnswers {
 		var n int
-		if n, r.args, err = nextCommand(r.buf[used:], r.args); n == 0 {
+		if n, r.args, err = parseCommand(r.buf[used:], r.args); n == 0 {
 			break
 		}
 		used += n
-		got = append(got, interpret(r.cfg, r.args, r.came.of(used)))
+		commands = append(commands, interpret(r.cfg, r.args, r.times.receivedAt(used)))
 	}
-	return got, used, err
+	return commands, used, err
 }
 
-// refuse answers what can't be read, as the last.
-func (r *reader) refuse(why error, fault bool) {
-	reply := redcon.AppendError(nil, "ERR "+why.Error())
-	r.hand(commands{got: []received{{reply: reply}}, last: true, fault: fault})
+// sendProtocolError posts an error reply as the connection's last answer, then drains its reads.
+func (r *clientReader) sendProtocolError(cause error, malformed bool) {
+	reply := redcon.AppendError(nil, "ERR "+cause.Error())
+	r.postBatch(commandBatch{commands: []receivedCommand{{reply: reply}}, last: true, protocolError: malformed})
 	r.drainReads()
 }
 
-// hand posts commands.
-func (r *reader) hand(e commands) {
-	if len(e.got) == 0 && !e.last {
+// postBatch posts a batch to the loop and counts its answers as pending.
+func (r *clientReader) postBatch(batch commandBatch) {
+	if len(batch.commands) == 0 && !batch.last {
 		return
 	}
-	e.c = r.c
-	r.c.owed.Add(int32(len(e.got)))
-	r.post(e)
+	batch.client = r.client
+	r.client.pendingAnswers.Add(int32(len(batch.commands)))
+	r.post(batch)
 }
 
-// interpret turns a command into a request, or into its answer. Its last byte came at the time came.
-func interpret(cfg *Config, args [][]byte, came time.Duration) received {
+// interpret converts a command whose last byte was received at receivedAt into a request, or into a ready answer.
+func interpret(cfg *Config, args [][]byte, receivedAt time.Duration) receivedCommand {
 	if len(args) == 0 {
-		return received{reply: redcon.AppendError(nil, "ERR empty command")}
+		return receivedCommand{reply: redcon.AppendError(nil, "ERR empty command")}
 	}
 	name := strings.ToUpper(string(args[0][:min(len(args[0]), 16)]))
 	switch name {
 	case "Q.ASK", "Q.DO":
-		cmd, err := parseRequest(cfg, name, args, came)
+		cmd, err := parseRequest(cfg, name, args, receivedAt)
 		if err != nil {
-			return received{reply: redcon.AppendError(nil, "ERR "+err.Error())}
+			return receivedCommand{reply: redcon.AppendError(nil, "ERR "+err.Error())}
 		}
-		return received{cmd: cmd}
+		return receivedCommand{cmd: cmd}
 	case "PING":
 		if len(args) == 2 {
-			return received{reply: redcon.AppendBulk(nil, bytes.Clone(args[1]))}
+			return receivedCommand{reply: redcon.AppendBulk(nil, bytes.Clone(args[1]))}
 		}
-		return received{reply: redcon.AppendString(nil, "PONG")}
+		return receivedCommand{reply: redcon.AppendString(nil, "PONG")}
 	case "CLIENT", "SELECT":
-		return received{reply: redcon.AppendOK(nil)}
+		return receivedCommand{reply: redcon.AppendOK(nil)}
 	}
-	return received{reply: redcon.AppendError(nil, "ERR unknown command")}
+	return receivedCommand{reply: redcon.AppendError(nil, "ERR unknown command")}
 }
--- a/internal/gateway/readmode.go
+++ b/internal/gateway/readmode.go
@@ -2,21 +2,22 @@
 
 import "sync/atomic"
 
-// readMode says how far a connection of a client is still read.
-type readMode int32
+// readState says how far the connection of a client is still read. It only moves forward.
+type readState int32
 
 const (
-	readOn     readMode = iota // for as long as the client stays
-	readToRest                 // until nothing is owed and nothing waits, or the client is slow to take what it is owed
-	readBegun                  // to the end of a command that has begun; all are handed on, however much is owed
-	readNoMore                 // nothing more, also where a command has begun; those that are whole are handed on
+	readNormal    readState = iota // as long as the client stays connected
+	readUntilIdle                  // until no answer is pending and no input waits, or the client reads its answers slowly
+	// to the end of a partial command; complete commands are processed, however many answers are pending
+	readFinishPartial
+	readStopped // nothing, even if a command is partial; complete commands are processed
 )
 
-// readLimit holds the mode of a connection between the loop, which sets it, and the connection's reader.
-type readLimit struct{ mode atomic.Int32 }
+// atomicReadState shares a connection's readState between the loop, which sets it, and the connection's reader.
+type atomicReadState struct{ value atomic.Int32 }
 
-// get returns the mode.
-func (r *readLimit) get() readMode { return readMode(r.mode.Load()) }
+// load returns the current state.
+func (r *atomicReadState) load() readState { return readState(r.value.Load()) }
 
-// raise sets a mode, unless a later one is set already. Only the loop may call it.
-func (r *readLimit) raise(to readMode) { r.mode.Store(int32(max(r.get(), to))) }
+// advance moves to a later state; an earlier one has no effect. Only the loop may call it.
+func (r *atomicReadState) advance(state readState) { r.value.Store(int32(max(r.load(), state))) }
--- a/internal/gateway/resp.go
+++ b/internal/gateway/resp.go
@@ -9,171 +9,173 @@
 	"winghatch/decide"
 )
 
-// Bounds on what peers send. Each is checked on the header that tells it, so that what can't become a command
-// or an answer ends at once, however much of it is yet to come, and what is partly there costs a look at a few
-// headers with each read, not a pass over its bytes. (The RESP library waits for all of a huge or negative
-// length, and panics on some.)
+// Limits on the input from clients and servers. Each is checked against the header that announces it. So input that
+// can't become a command or an answer is rejected at once, however much of it is still to arrive, and parsing partial
+// input with each read examines a few headers and not all its bytes. (The RESP library waits for all bytes of a huge
+// or negative length, and panics on some lengths.)
 const (
-	headerMost  = 16                // bytes of a header, "$65536\r\n" and some
-	argsMost    = 16                // of a command: the longest that clients use has five
-	valueMost   = 64 << 10          // bytes of a value
-	commandMost = valueMost + 4<<10 // bytes of a whole command
-	fieldMost   = 4 << 10           // bytes of a figure, of a load report and of an error line
-	answerMost  = valueMost + 3*fieldMost
+	maxHeaderBytes  = 16                              // bytes of a header; "$65536\r\n" takes 8
+	maxArgs         = 16                              // arguments of a command; the longest command that clients use has five
+	maxValueBytes   = 64 << 10                        // bytes of a value
+	maxCommandBytes = maxValueBytes + 4<<10           // bytes of a complete command
+	maxFieldBytes   = 4 << 10                         // bytes of the usage figures, of a load report and of an error line
+	maxAnswerBytes  = maxValueBytes + 3*maxFieldBytes // bytes of a complete answer
 )
 
 var errFraming = errors.New("protocol error: expected an array of bulk strings within the limits")
 
-// header reads a kind and a number, such as "$12\r\n". used is 0 while more of it must come.
-func header(b []byte, kind byte, least, most int) (n, used int, err error) {
+// parseHeader parses a RESP header of the given kind, such as "$12\r\n", whose number lies within minimum and
+// maximum. used is 0 if b ends before the header does.
+func parseHeader(b []byte, kind byte, minimum, maximum int) (n, used int, err error) {
 	if len(b) == 0 {
 		return 0, 0, nil
 	}
-	end := bytes.IndexByte(b[:min(len(b), headerMost)], '\n')
-	if b[0] != kind || (end < 0 && len(b) >= headerMost) || (end > 0 && b[end-1] != '\r') {
+	end := bytes.IndexByte(b[:min(len(b), maxHeaderBytes)], '\n')
+	if b[0] != kind || (end < 0 && len(b) >= maxHeaderBytes) || (end > 0 && b[end-1] != '\r') {
 		return 0, 0, errFraming
 	}
 	if end < 0 {
 		return 0, 0, nil
 	}
 	n, err = strconv.Atoi(string(b[1 : end-1]))
-	if err != nil || n < least || n > most || b[1] == '+' {
+	if err != nil || n < minimum || n > maximum || b[1] == '+' {
 		return 0, 0, errFraming
 	}
 	return n, end + 1, nil
 }
 
-// bulk reads a bulk string. used is 0 while more of it must come. A null one, allowed where least is -1, has
-// no value.
-func bulk(b []byte, least, most int) (value []byte, used int, err error) {
-	n, at, err := header(b, '$', least, most)
-	if err != nil || at == 0 || n < 0 {
-		return nil, at, err
-	}
-	end := at + n
+// parseBulk parses a bulk string. used is 0 if b ends before the string does. A null string, allowed if minLen is -1,
+// returns a nil value.
+func parseBulk(b []byte, minLen, maxLen int) (value []byte, used int, err error) {
+	n, start, err := parseHeader(b, '$', minLen, maxLen)
+	if err != nil || start == 0 || n < 0 {
+		return nil, start, err
+	}
+	end := start + n
 	if len(b) > end && b[end] != '\r' || len(b) > end+1 && b[end+1] != '\n' {
 		return nil, 0, errFraming
 	}
 	if len(b) < end+2 {
 		return nil, 0, nil
 	}
-	return b[at:end], end + 2, nil
+	return b[start:end], end + 2, nil
 }
 
-// nextCommand reads a command; used is 0 while more of it must come. The arguments share memory with b.
-func nextCommand(b []byte, reuse [][]byte) (used int, args [][]byte, err error) {
+// parseCommand parses a command. used is 0 if b ends before the command does. The arguments share memory with b.
+func parseCommand(b []byte, reuse [][]byte) (used int, args [][]byte, err error) {
 	args = reuse[:0]
-	count, at, err := header(b, '*', 0, argsMost)
-	if err != nil || at == 0 {
+	count, offset, err := parseHeader(b, '*', 0, maxArgs)
+	if err != nil || offset == 0 {
 		return 0, args, err
 	}
 	for range count {
-		arg, n, err := bulk(b[at:], 0, min(valueMost, commandMost-at))
+		arg, n, err := parseBulk(b[offset:], 0, min(maxValueBytes, maxCommandBytes-offset))
 		if err != nil || n == 0 {
 			return 0, args, err
 		}
-		args, at = append(args, arg), at+n
+		args, offset = append(args, arg), offset+n
 	}
-	return at, args, nil
+	return offset, args, nil
 }
 
-// missing is how many bytes are known to be missing of the last command in b, at least 1 where that has begun. It is 0 where b
-// ends with a whole command, or holds what can't be read.
-func missing(b []byte) int {
+// missingBytes returns how many bytes of the last command in b are known to be missing, at least 1 if a command has
+// begun. It returns 0 if b ends with a complete command or holds malformed input.
+func missingBytes(b []byte) int {
 	for len(b) > 0 {
-		used, _, err := nextCommand(b, nil)
+		used, _, err := parseCommand(b, nil)
 		if err != nil {
 			return 0
 		}
 		if used == 0 {
-			return missingOf(b)
+			return missingInCommand(b)
 		}
 		b = b[used:]
 	}
 	return 0
 }
 
-// missingOf is the same for one command that has begun and is not whole.
-func missingOf(b []byte) int {
-	count, at, err := header(b, '*', 0, argsMost)
+// missingInCommand is missingBytes for a single incomplete command.
+func missingInCommand(b []byte) int {
+	count, offset, err := parseHeader(b, '*', 0, maxArgs)
 	for range count {
-		if err != nil || at >= len(b) {
+		if err != nil || offset >= len(b) {
 			break
 		}
-		n, used, headerErr := header(b[at:], '$', 0, valueMost)
+		n, used, headerErr := parseHeader(b[offset:], '$', 0, maxValueBytes)
 		if headerErr != nil || used == 0 {
 			break
 		}
-		at += used + n + len("\r\n")
+		offset += used + n + len("\r\n")
 	}
-	return max(1, at-len(b))
+	return max(1, offset-len(b))
 }
 
-var errSpoilt = errors.New("not an answer")
+var errMalformedAnswer = errors.New("malformed answer")
 
-// answer is what a server said to a request.
+// answer is a server's answer to a request.
 type answer struct {
 	outcome decide.Outcome
-	value   []byte // as it goes to the client
-	inStep  bool   // the whole of it was read, so the next answer can be told from it
+	value   []byte // RESP bulk string that is sent to the client
+	inSync  bool   // the answer was parsed to its end, so the next answer can be told apart from it
 }
 
-// parseAnswer reads a server's answer, exactly: an array of the value, the figures on use or null, and the load
-// report or null; or an error line. used is 0 while more must come. Figures or a report that can't be read
-// leave the connection out of step, but do the value no harm.
+// parseAnswer parses a server's answer. An answer is either an array of exactly three elements (the value, the usage
+// figures or null, the load report or null) or an error line. used is 0 if b ends before the answer does. Malformed
+// figures or a malformed load report leave the connection out of sync, but the value is still valid.
 func parseAnswer(b []byte) (a answer, used int, err error) {
 	if len(b) == 0 || b[0] != '-' {
-		return servedAnswer(b)
+		return parseServedAnswer(b)
 	}
-	o, used, err := errorLine(b)
-	return answer{outcome: o, inStep: true}, used, err
+	outcome, used, err := parseErrorLine(b)
+	return answer{outcome: outcome, inSync: true}, used, err
 }
 
-// errorLine reads a line such as "-BUSY" or "-ERR failed queue=2".
-func errorLine(b []byte) (o decide.Outcome, used int, err error) {
-	end := bytes.IndexByte(b[:min(len(b), fieldMost)], '\n')
-	if end < 0 && len(b) < fieldMost {
+// parseErrorLine parses a line such as "-BUSY" or "-ERR failed queue=2".
+func parseErrorLine(b []byte) (outcome decide.Outcome, used int, err error) {
+	end := bytes.IndexByte(b[:min(len(b), maxFieldBytes)], '\n')
+	if end < 0 && len(b) < maxFieldBytes {
 		return 0, 0, nil
 	}
 	if end < 2 || b[end-1] != '\r' || !utf8.Valid(b[:end]) {
-		return 0, 0, errSpoilt
+		return 0, 0, errMalformedAnswer
 	}
-	word, _, _ := bytes.Cut(b[1:end-1], []byte(" "))
-	if len(word) == 0 || bytes.ContainsFunc(word, func(r rune) bool { return r < 'A' || r > 'Z' }) {
-		return 0, 0, errSpoilt
+	code, _, _ := bytes.Cut(b[1:end-1], []byte(" "))
+	if len(code) == 0 || bytes.ContainsFunc(code, func(r rune) bool { return r < 'A' || r > 'Z' }) {
+		return 0, 0, errMalformedAnswer
 	}
-	if string(word) == "BUSY" {
+	if string(code) == "BUSY" {
 		return decide.Full, end + 1, nil
 	}
 	return decide.Error, end + 1, nil
 }
 
-func servedAnswer(b []byte) (a answer, used int, err error) {
-	_, from, err := header(b, '*', 3, 3)
-	if err != nil || from == 0 {
+// parseServedAnswer parses an answer that is an array.
+func parseServedAnswer(b []byte) (a answer, used int, err error) {
+	_, start, err := parseHeader(b, '*', 3, 3)
+	if err != nil || start == 0 {
 		return a, 0, err
 	}
-	value, n, err := bulk(b[from:], 0, valueMost)
+	value, n, err := parseBulk(b[start:], 0, maxValueBytes)
 	if err != nil || n == 0 {
 		return a, 0, err
 	}
-	// The value goes to the client with its header. One that reads lengths strictly would take "$012\r\n" or "$-0\r\n"
-	// for a protocol error, and end the connection with all that is owed on it.
+	// The value is sent to the client together with its header. A client that parses lengths strictly would reject
+	// "$012\r\n" or "$-0\r\n" as a protocol error, and close the connection with all its pending answers.
 	if n != len("$\r\n\r\n")+len(strconv.Itoa(len(value)))+len(value) {
-		return a, 0, errSpoilt
+		return a, 0, errMalformedAnswer
 	}
-	at := from + n
-	a = answer{decide.OK, b[from:at], true}
-	for range 2 { // figures on use, load report
-		_, n, err := bulk(b[at:], -1, fieldMost)
+	offset := start + n
+	a = answer{decide.OK, b[start:offset], true}
+	for range 2 { // usage figures, load report
+		_, n, err := parseBulk(b[offset:], -1, maxFieldBytes)
 		if err != nil {
-			a.inStep = false
+			a.inSync = false
 			return a, len(b), nil
 		}
 		if n == 0 {
 			return a, 0, nil
 		}
-		at += n
+		offset += n
 	}
-	return a, at, nil
+	return a, offset, nil
 }
