--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	patience = 20 * time.Second // for what must come; no test waits for it to pass
-	profile  = `{"Classes":[
+	testTimeout  = 20 * time.Second // upper bound for expected events; no passing test waits this long
+	testSettings = `{"Classes":[
  {"Name":"look","Effect":"safe","AimNs":%[1]d,"GiveUpNs":30000000000,"Importance":1},
  {"Name":"book","Effect":"keyed","Group":"cell","WindowNs":30000000000,"AimNs":%[1]d,"GiveUpNs":30000000000,"Importance":3}],
 "Extra":{"PeerIntake":40,"UnitsTop":8},"Instances":2,"Rank":0,"Zone":"a",
@@ -34,12 +34,13 @@
 "TiersOfService":[{"Name":"p","Refill":1000,"MostAtOnce":3000,"Pays":1}]}`
 )
 
-// backend is a server under a test's control: it hands over each command with its connection.
+// backend is a card server controlled by a test. It passes each received command, with its connection, to the test.
 type backend struct {
 	addr string
 	got  chan exchange
 }
 
+// exchange is a command that a backend received, with its connection. args is nil when the connection has ended.
 type exchange struct {
 	conn net.Conn
 	args []string
@@ -55,7 +56,7 @@
 	var readers sync.WaitGroup
 	t.Cleanup(func() {
 		ln.Close()
-		go func() { // what is still handed over is dropped until the last connection has ended
+		go func() { // discards the remaining exchanges until the last connection has ended
 			for range b.got {
 			}
 		}()
@@ -91,17 +92,19 @@
 	return b
 }
 
+// next returns the next exchange. It fails the test if none comes within testTimeout.
 func (b *backend) next(t *testing.T) exchange {
 	t.Helper()
 	select {
 	case x := <-b.got:
 		return x
-	case <-time.After(patience):
-		t.Fatal("nothing came to the server")
+	case <-time.After(testTimeout):
+		t.Fatal("no command reached the server")
 		panic("unreachable")
 	}
 }
 
+// answer writes a reply to the connection of an exchange.
 func (x exchange) answer(t *testing.T, reply string) {
 	t.Helper()
 	if _, err := io.WriteString(x.conn, reply); err != nil {
@@ -109,44 +112,45 @@
 	}
 }
 
-// registry is discovery under a test's control.
-type registry struct {
+// fakeDiscovery is a discovery service controlled by a test.
+type fakeDiscovery struct {
 	mu      sync.Mutex
 	list    serverList
 	changed chan struct{}
-	calls   chan string // the queries of the calls, the latest left out where nobody takes them
+	calls   chan string // query strings of the calls; when the channel is full, further ones are dropped
 }
 
-// newRegistry starts discovery with a list and tells its address.
-func newRegistry(t *testing.T, list serverList) (*registry, netip.AddrPort) {
+// newFakeDiscovery starts a discovery service with a list and returns its address.
+func newFakeDiscovery(t *testing.T, list serverList) (*fakeDiscovery, netip.AddrPort) {
 	t.Helper()
-	r := &registry{list: list, changed: make(chan struct{}), calls: make(chan string, 64)}
-	web := httptest.NewServer(r)
+	d := &fakeDiscovery{list: list, changed: make(chan struct{}), calls: make(chan string, 64)}
+	web := httptest.NewServer(d)
 	t.Cleanup(func() {
 		web.CloseClientConnections()
 		web.Close()
 	})
-	return r, netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://"))
+	return d, netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://"))
 }
 
-func (r *registry) set(list serverList) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.list = list
-	close(r.changed)
-	r.changed = make(chan struct{})
+// set replaces the list and wakes the calls that wait for a change.
+func (d *fakeDiscovery) set(list serverList) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.list = list
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-func (r *registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	select {
-	case r.calls <- req.URL.RawQuery:
+	case d.calls <- req.URL.RawQuery:
 	default:
 	}
 	after, err := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
 	for {
-		r.mu.Lock()
-		list, changed := r.list, r.changed
-		r.mu.Unlock()
+		d.mu.Lock()
+		list, changed := d.list, d.changed
+		d.mu.Unlock()
 		if err != nil || list.Version > after {
 			json.NewEncoder(w).Encode(list)
 			return
@@ -163,6 +167,7 @@
 	}
 }
 
+// entries lists backends as servers s-0, s-1 and so on, each in a cell of its own.
 func entries(state string, backends ...*backend) []serverEntry {
 	var all []serverEntry
 	for i, b := range backends {
@@ -171,9 +176,10 @@
 	return all
 }
 
-func testConfig(t *testing.T, aim time.Duration, servers []serverEntry) Config {
+// testConfig returns a configuration with testSettings, a target latency for all classes and a list of servers.
+func testConfig(t *testing.T, target time.Duration, servers []serverEntry) Config {
 	t.Helper()
-	set, err := settings.Parse(json.RawMessage(fmt.Sprintf(profile, aim.Nanoseconds())))
+	set, err := settings.Parse(json.RawMessage(fmt.Sprintf(testSettings, target.Nanoseconds())))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,75 +187,78 @@
 		Known: serverList{Version: 1, Full: true, Servers: servers}}
 }
 
-// rig is a gateway at work.
-type rig struct {
-	addr  string
-	reg   *registry
-	moves chan netip.AddrPort
-	stop  context.CancelFunc
-	done  chan error
+// harness is a running gateway with its discovery service.
+type harness struct {
+	addr           string
+	discovery      *fakeDiscovery
+	discoveryAddrs chan netip.AddrPort
+	stop           context.CancelFunc
+	done           chan error
 }
 
-func newRig(t *testing.T, aim time.Duration, backends ...*backend) *rig {
+// newHarness starts a gateway that uses the given servers and listens on a free port.
+func newHarness(t *testing.T, target time.Duration, backends ...*backend) *harness {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rigOn(t, ln, aim, backends...)
+	return newHarnessOn(t, ln, target, backends...)
 }
 
-// rigOn starts a gateway whose clients connect to a listener of the test's.
-func rigOn(t *testing.T, ln net.Listener, aim time.Duration, backends ...*backend) *rig {
+// newHarnessOn starts a gateway that accepts clients on a listener provided by the test.
+func newHarnessOn(t *testing.T, ln net.Listener, target time.Duration, backends ...*backend) *harness {
 	t.Helper()
-	cfg := testConfig(t, aim, entries("up", backends...))
-	r := &rig{addr: ln.Addr().String(), moves: make(chan netip.AddrPort), done: make(chan error, 1)}
-	r.reg, cfg.Discovery = newRegistry(t, cfg.Known)
+	cfg := testConfig(t, target, entries("up", backends...))
+	h := &harness{addr: ln.Addr().String(), discoveryAddrs: make(chan netip.AddrPort), done: make(chan error, 1)}
+	h.discovery, cfg.Discovery = newFakeDiscovery(t, cfg.Known)
 	ctx, cancel := context.WithCancel(context.Background())
-	r.stop = cancel
-	ending.Go(func() { r.done <- serve(ctx, cfg, r.moves, ln, slog.New(slog.DiscardHandler)) })
+	h.stop = cancel
+	stoppingGateways.Go(func() { h.done <- serve(ctx, cfg, h.discoveryAddrs, ln, slog.New(slog.DiscardHandler)) })
 	t.Cleanup(cancel)
-	return r
+	return h
 }
 
-// caller is a client's connection.
-type caller struct {
+// testClient is a client's connection to the gateway.
+type testClient struct {
 	t    *testing.T
 	conn net.Conn
 	rd   *bufio.Reader
 }
 
-func (r *rig) dial(t *testing.T) *caller {
+func (h *harness) dial(t *testing.T) *testClient {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.addr)
+	conn, err := net.Dial("tcp", h.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	return &caller{t, conn, bufio.NewReader(conn)}
+	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func (c *caller) send(words ...string) {
+// send writes a command.
+func (c *testClient) send(args ...string) {
 	c.t.Helper()
-	b := redcon.AppendArray(nil, len(words))
-	for _, w := range words {
-		b = redcon.AppendBulkString(b, w)
+	b := redcon.AppendArray(nil, len(args))
+	for _, arg := range args {
+		b = redcon.AppendBulkString(b, arg)
 	}
-	c.raw(string(b))
+	c.sendRaw(string(b))
 }
 
-func (c *caller) raw(s string) {
+func (c *testClient) sendRaw(s string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, s); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// read returns a whole answer: a line, or the value of a bulk string after a '$'.
-func (c *caller) read() string {
+// read returns one complete answer: a line, or '$' and the value of a bulk string. If reading fails it returns the
+// error text.
+func (c *testClient) read() string {
 	c.t.Helper()
 	line, err := c.rd.ReadString('\n')
 	if err != nil {
@@ -270,7 +279,8 @@
 	return "$" + string(b[:n])
 }
 
-func (c *caller) want(answer string) {
+// expect reads an answer and fails the test if it is not the given one.
+func (c *testClient) expect(answer string) {
 	c.t.Helper()
 	if got := c.read(); got != answer {
 		c.t.Fatalf("got answer %q, want %q", got, answer)
@@ -279,23 +289,26 @@
 
 const customer = "00000000b4d65521"
 
-func (c *caller) look(id string) {
+// sendLook sends a safe request.
+func (c *testClient) sendLook(id string) {
 	c.send("Q.ASK", customer, id, "c=look,t=p,d=30000,units=1,spread=2,first=0")
 }
 
-func (c *caller) book(id string) {
+// sendBook sends a keyed request.
+func (c *testClient) sendBook(id string) {
 	c.send("Q.DO", customer, id, "c=book,t=p,d=30000,k=77,units=1,spread=2,first=0", "BODY")
 }
 
-func served(value string) string {
+// servedReply is a server's reply with a value and no load report.
+func servedReply(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// join gives the loop a new connection, as the listener does.
-func join(l *loop, c *client) {
+// joinClient adds a new connection to the loop in the same way as the listener does.
+func joinClient(l *loop, c *client) {
 	l.ready = true
-	l.ahead <- struct{}{}
-	joined{c}.apply(l)
+	l.pendingAccepts <- struct{}{}
+	clientConnected{c}.apply(l)
 }
 
 func mustAddr(addr string) netip.AddrPort { return netip.MustParseAddrPort(addr) }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -12,151 +12,160 @@
 	"time"
 )
 
-// The descriptors that a gateway may hold are parted between clients and servers; the rest is for the
-// listener, discovery, peers and the runtime.
+// The file descriptors of a gateway are shared equally by connections to clients and to servers. The rest is reserved
+// for the listener, discovery, peers and the Go runtime.
 const (
-	leastSockets   = 64
-	reserveSockets = 32
+	minSockets      = 64
+	reservedSockets = 32
 )
 
-func upstreamSockets(all int) int { return (all - reserveSockets) / 2 }
-func clientSockets(all int) int   { return (all - reserveSockets) / 2 }
+func upstreamSockets(total int) int { return (total - reservedSockets) / 2 }
+func clientSockets(total int) int   { return (total - reservedSockets) / 2 }
 
 const (
-	acceptOn   = 500 * time.Millisecond // after the stop: the front goes on sending new connections for a while
-	closeGrace = 200 * time.Millisecond // for a connection that came in as the listener closed
-	// The platform kills a gateway that it has told to stop once the longest deadline (no more than shutdownWait of it)
-	// and shutdownGrace have passed. What is owed by then would be lost, so it is failed shutdownMargin before.
-	shutdownWait   = 3 * time.Second
-	shutdownGrace  = 700 * time.Millisecond
-	shutdownMargin = 200 * time.Millisecond
-	// Clients that take their last answers slowly have this long; the platform may end the gateway before.
-	shutdownLongest = 10 * time.Second
-	// What was read ahead gets its refusals in this; connections linger before they are closed, still in shutdownMargin.
-	shutdownLast = shutdownMargin - lingerFor - 10*time.Millisecond
+	// Connections are accepted for this long after a stop request, because the load balancer in front of the gateways
+	// keeps sending new ones for a while.
+	acceptGrace = 500 * time.Millisecond
+	closeGrace  = 200 * time.Millisecond // for a connection that is accepted while the listener closes
+	// After a stop request the platform kills the gateway once the longest deadline (but no more than
+	// maxShutdownWait) plus shutdownGrace has passed. Requests that are open by then would be lost, so they are
+	// failed shutdownMargin earlier.
+	maxShutdownWait = 3 * time.Second
+	shutdownGrace   = 700 * time.Millisecond
+	shutdownMargin  = 200 * time.Millisecond
+	// Clients that read their last answers slowly have this long. The platform may kill the gateway earlier.
+	lastAnswerTimeout = 10 * time.Second
+	// Requests that were read ahead are refused within this time. Connections linger for lingerInterval before they are
+	// closed, and that must also fit into shutdownMargin.
+	finalReadGrace = shutdownMargin - lingerInterval - 10*time.Millisecond
 )
 
-// Run serves until the context ends; then it takes what still comes for a moment, answers all that it has
-// taken, and returns. Each address that comes over moves is where discovery is from then on.
-func Run(ctx context.Context, cfg Config, moves <-chan netip.AddrPort, log *slog.Logger) error {
+// Run serves clients until the context ends. It then accepts connections for a short time, answers all requests that
+// it has taken, and returns. Each address received from
+// discoveryAddrs replaces the address of discovery.
+func Run(ctx context.Context, cfg Config, discoveryAddrs <-chan netip.AddrPort, log *slog.Logger) error {
 	ln, err := listen(ctx, cfg.Listen.String(), log)
 	if err != nil && ctx.Err() != nil {
-		return nil // told to end before it took anything
+		return nil // stopped before it accepted anything
 	}
 	if err != nil {
 		return fmt.Errorf("listening for clients: %w", err)
 	}
 	defer ln.Close()
-	return serve(ctx, cfg, moves, ln, log)
+	return serve(ctx, cfg, discoveryAddrs, ln, log)
 }
 
-func serve(ctx context.Context, cfg Config, moves <-chan netip.AddrPort, ln net.Listener, log *slog.Logger) error {
+// serve runs a gateway on a listener until the context ends and the shutdown is complete.
+func serve(ctx context.Context, cfg Config, discoveryAddrs <-chan netip.AddrPort, ln net.Listener, log *slog.Logger) error {
 	opened := time.Now()
 	l, err := newLoop(cfg, log)
 	if err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
-	inner, cancel := context.WithCancel(context.Background()) // discovery goes on while the gateway drains
+	serveCtx, cancel := context.WithCancel(context.Background()) // discovery is still polled while the gateway drains
 	defer wg.Wait()
 	defer cancel()
 	if cfg.PeerListen.IsValid() {
-		if err := linkPeers(inner, &wg, cfg, l.in.post, log); err != nil {
+		if err := startPeers(serveCtx, &wg, cfg, l.inbox.post, log); err != nil {
 			return err
 		}
 	}
 	if cfg.MetricsListen.IsValid() {
-		wg.Go(func() { serveMetrics(inner, cfg.MetricsListen, l.metrics, log) })
+		wg.Go(func() { serveMetrics(serveCtx, cfg.MetricsListen, l.metrics, log) })
 	}
-	hearing := newHearing()
-	wg.Go(func() { follow(inner, cfg, moves, l.in.post, l.metrics, hearing, log) })
+	hearing := newDiscoveryWarmup()
+	wg.Go(func() { followDiscovery(serveCtx, cfg, discoveryAddrs, l.inbox.post, l.metrics, hearing, log) })
 	wg.Go(func() {
-		// The list that the gateway was started with may be old. What discovery has told since counts from the first
-		// moment, so it is heard before the first request is taken, or nothing new if it has nothing to say.
-		hearing.await(cmp.Or(cfg.hearFor, hearFirst), hearWhole)
-		l.in.post(ready{})
-		queue := acceptQueue{since: opened} // clients may have connected meanwhile
-		acceptor{ln: ln, queue: queue, ahead: l.ahead, post: l.in.post, metrics: l.metrics, log: log}.run(inner)
-		l.in.post(acceptEnded{}) // behind all connections that it took
+		// The list from the configuration may be out of date, and newer state that discovery has published applies
+		// from the first request on. So discovery is polled first, but the wait is bounded in case it does not
+		// answer.
+		hearing.await(cmp.Or(cfg.warmupTimeout, warmupFirstByteTimeout), warmupAnswerTimeout)
+		l.inbox.post(discoveryReady{})
+		queue := acceptQueue{waitingSince: opened} // clients may have connected since the listener was opened
+		acceptor{ln: ln, queue: queue, backlog: l.pendingAccepts, post: l.inbox.post, metrics: l.metrics,
+			log: log}.run(serveCtx)
+		l.inbox.post(acceptEnded{}) // after all accepted connections
 	})
 	wg.Go(func() {
 		select {
 		case <-ctx.Done():
-			l.in.post(stop{ln})
-		case <-inner.Done():
+			l.inbox.post(stopRequested{ln})
+		case <-serveCtx.Done():
 		}
 	})
 	l.run()
-	l.shut()
-	log.Info("counted", "metrics", l.metrics.Summary())
+	l.shutdown()
+	log.Info("final metrics", "metrics", l.metrics.Summary())
 	if err := ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("closing the listener: %w", err)
 	}
 	return nil
 }
 
-// ready tells that requests may be taken from now on.
-type ready struct{}
+// discoveryReady is the event that requests may be taken from now on.
+type discoveryReady struct{}
 
-func (ready) apply(l *loop) { l.ready = true }
+func (discoveryReady) apply(l *loop) { l.ready = true }
 
-// stop begins the end of the gateway.
-type stop struct{ ln net.Listener }
+// stopRequested is the event that starts the shutdown of the gateway.
+type stopRequested struct{ ln net.Listener }
 
-func (s stop) apply(l *loop) {
+func (s stopRequested) apply(l *loop) {
 	now := l.clock.now()
-	l.stopBy = now + l.stopGrace()
+	l.stopDeadline = now + l.stopGrace()
 	l.log.Info("stopping", "open", len(l.requests))
-	l.schedule(min(now+acceptOn, l.stopBy), func() {
-		endAccepting(s.ln)
+	l.schedule(min(now+acceptGrace, l.stopDeadline), func() {
+		stopAccepting(s.ln)
 		l.closing = true
 		for c := range l.clients {
 			l.drain(c)
 		}
 	})
-	l.schedule(l.stopBy, func() {
-		s.ln.Close() // also where accepting still fails
+	l.schedule(l.stopDeadline, func() {
+		s.ln.Close() // also if accepting still fails
 		l.stopAll()
 	})
 }
 
-// stopGrace is how long after the stop answers can still be given.
+// stopGrace returns how long after the stop request answers can still be given.
 func (l *loop) stopGrace() time.Duration {
 	longest := time.Duration(0)
 	for i := range l.cfg.Settings.Decide.Classes {
 		longest = max(longest, l.cfg.Settings.Decide.Classes[i].Deadline)
 	}
 	if longest <= 0 {
-		longest = shutdownWait
+		longest = maxShutdownWait
 	}
-	return min(longest, shutdownWait) + shutdownGrace - shutdownMargin
+	return min(longest, maxShutdownWait) + shutdownGrace - shutdownMargin
 }
 
-// stopAll fails what is still owed, such as requests at servers that hang, and ends all connections. What was read ahead is
-// refused, and what is unread is left so: its client sends it again elsewhere. The last word on what was read is the
-// reader's, so that nothing is lost between it and the loop.
+// stopAll fails the requests that are still open, such as those at servers that hang, and ends all connections.
+// Requests that were read ahead are refused. Input that is unread stays unread, and its client sends it again to
+// another gateway. The reader decides last which commands were read, so that none is lost between the reader and the
+// loop.
 func (l *loop) stopAll() {
 	l.closing = true
 	for c := range l.clients {
-		l.failOpen(c, reasonStopping)
-		l.limitReading(c, readBegun)
+		l.failOpenRequests(c, reasonStopping)
+		l.limitReading(c, readFinishPartial)
 	}
-	l.schedule(l.clock.now()+shutdownLast, func() {
+	l.schedule(l.clock.now()+finalReadGrace, func() {
 		for c := range l.clients {
-			l.limitReading(c, readNoMore)
+			l.limitReading(c, readStopped)
 		}
 	})
-	l.schedule(l.clock.now()+shutdownLongest, func() {
+	l.schedule(l.clock.now()+lastAnswerTimeout, func() {
 		for c := range l.clients {
 			l.closeClient(c, closeShutdown)
 		}
 	})
 }
 
-// acceptEnded tells that no further connection will come.
+// acceptEnded is the event that no further connection will be accepted.
 type acceptEnded struct{}
 
-func (acceptEnded) apply(l *loop) { l.accepted = true }
+func (acceptEnded) apply(l *loop) { l.acceptDone = true }
 
-// finished reports that the gateway is stopping and owes nothing: no connection is open or still to be counted.
-func (l *loop) finished() bool { return l.closing && l.accepted && len(l.clients) == 0 }
+// finished reports whether the gateway is stopping, no connection is open and none is still to be counted.
+func (l *loop) finished() bool { return l.closing && l.acceptDone && len(l.clients) == 0 }
--- a/internal/gateway/slow_test.go
+++ b/internal/gateway/slow_test.go
@@ -13,47 +13,48 @@
 	"winghatch/decide"
 )
 
-// narrow is a pair whose kernel buffer takes little, so that large writes don't go at once.
-func narrow(t *testing.T) (near, far net.Conn) {
+// smallBufferPair returns a connected pair of sockets. The kernel's send buffer of near is small, so that large
+// writes block.
+func smallBufferPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
-	near, far = pair(t)
+	near, far = tcpPair(t)
 	if err := near.(*net.TCPConn).SetWriteBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
 	return near, far
 }
 
-// next is the next event that another goroutine posted.
-func next(t *testing.T, l *loop) event {
+// nextEvent returns the next event that another goroutine posts.
+func nextEvent(t *testing.T, l *loop) event {
 	t.Helper()
-	<-l.in.ready
-	return l.in.take(nil)[0]
+	<-l.inbox.ready
+	return l.inbox.take(nil)[0]
 }
 
-// step applies all that other goroutines have posted, once there is something.
-func step(l *loop) {
-	<-l.in.ready
-	for _, e := range l.in.take(nil) {
+// applyPosted waits until other goroutines have posted events, and applies them.
+func applyPosted(l *loop) {
+	<-l.inbox.ready
+	for _, e := range l.inbox.take(nil) {
 		e.apply(l)
 	}
 }
 
-// until turns the loop, timers included, until what is waited for has come.
-func until(t *testing.T, l *loop, come func() bool) {
+// runUntil runs the loop, including its timers, until the condition holds.
+func runUntil(t *testing.T, l *loop, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !come(); {
+	for end := time.Now().Add(testTimeout); !condition(); {
 		wait := time.Until(end)
 		if wait < 0 {
-			t.Fatal("what is waited for does not come")
+			t.Fatal("the condition did not become true in time")
 		}
 		if len(l.timers) > 0 {
 			wait = min(wait, max(0, l.timers[0].at-l.clock.now()))
 		}
 		select {
-		case <-l.in.ready:
-			for _, e := range l.in.take(nil) {
+		case <-l.inbox.ready:
+			for _, e := range l.inbox.take(nil) {
 				e.apply(l)
-				l.drainTodo()
+				l.processPending()
 			}
 		case <-time.After(wait):
 		}
@@ -61,226 +62,232 @@
 	}
 }
 
-// large opens a request whose body the kernel does not take at once, on a narrow connection to a server.
-func large(t *testing.T) (*loop, *attempt, net.Conn) {
+// openLargeRequest opens a request whose body is too large to be written at once, on a connection to a server with a
+// small send buffer.
+func openLargeRequest(t *testing.T) (*loop, *attempt, net.Conn) {
 	t.Helper()
-	l := still(t, unreachable(t))
-	l.pool.dialFor = 0 // the attempt's own dial fails; the test brings the connection
-	r, _ := open(t, l)
-	if d := next(t, l).(dialed); d.err == nil {
+	l := newManualLoop(t, unreachableServers(t))
+	l.pool.dialTimeout = 0 // the attempt's own dial fails; the test supplies the connection
+	r, _ := openRequest(t, l)
+	if d := nextEvent(t, l).(dialDone); d.err == nil {
 		t.Fatal("the dial did not fail")
 	}
 	r.cmd.args = append(r.cmd.args, bytes.Repeat([]byte("x"), 256<<10))
-	near, far := narrow(t)
+	near, far := smallBufferPair(t)
 	a := r.attempts[0]
-	dialed{a, a.server.addr, near, nil}.apply(l)
-	if a.conn == nil || !a.conn.busy || a.whole {
-		t.Fatal("the request went at once")
+	dialDone{a, a.server.addr, near, nil}.apply(l)
+	if a.conn == nil || !a.conn.writerActive || a.sent {
+		t.Fatal("the request was written at once")
 	}
 	return l, a, far
 }
 
-// A large request is written while the loop goes on, and counts as sent with its last byte.
-func TestSlowServerTakesALargeRequest(t *testing.T) {
-	l, a, far := large(t)
+// Guards against a large request that blocks the loop, or that counts as sent before its last byte is written.
+func TestLargeRequestDoesNotBlockTheLoop(t *testing.T) {
+	l, a, far := openLargeRequest(t)
 	go io.Copy(io.Discard, far)
-	for a.conn.busy {
-		step(l)
+	for a.conn.writerActive {
+		applyPosted(l)
 	}
-	if !a.whole || a.over {
-		t.Error("the attempt is not known to be out")
+	if !a.sent || a.ended {
+		t.Error("the attempt does not count as sent")
 	}
 }
 
-// A connection that breaks before the last byte proves that the request never ran: it may be refused.
-func TestBreakBeforeTheLastByte(t *testing.T) {
-	l, a, far := large(t)
+// Guards against treating a partly written request as one that may have run. If the connection breaks before the last
+// byte, the request never ran and may be refused.
+func TestPartlyWrittenRequestNeverRan(t *testing.T) {
+	l, a, far := openLargeRequest(t)
 	far.Close()
-	for !a.over {
-		step(l)
+	for !a.ended {
+		applyPosted(l)
 	}
-	if e := l.todo[len(l.todo)-1].(decide.AttemptEnded); e.Outcome != decide.NoConnection {
+	if e := l.pendingEvents[len(l.pendingEvents)-1].(decide.AttemptEnded); e.Outcome != decide.NoConnection {
 		t.Errorf("the outcome is %v", e.Outcome)
 	}
-	if !a.conn.closed() || l.pool.conns != 0 {
-		t.Error("the connection is kept")
+	if !a.conn.closed() || l.pool.connCount != 0 {
+		t.Error("the connection is still open or counted")
 	}
 }
 
-// A client that reads nothing must not make the loop wait, nor its answers fill the memory.
-func TestClientThatReadsNothing(t *testing.T) {
-	l := still(t, nil)
-	near, _ := narrow(t)
-	c := clientOn(t, near)
+// Guards against a client that reads nothing: it must not block the loop, and its answers must not fill the memory.
+func TestClientThatReadsNothingIsClosed(t *testing.T) {
+	l := newManualLoop(t, nil)
+	near, _ := smallBufferPair(t)
+	c := newClientOn(t, near)
 	l.clients[c] = struct{}{}
-	answer := redcon.AppendBulk(nil, bytes.Repeat([]byte("x"), valueMost))
+	answer := redcon.AppendBulk(nil, bytes.Repeat([]byte("x"), maxValueBytes))
 	for n := 0; !c.closed(); n++ {
 		if n*len(answer) > 64<<20 {
-			t.Fatal("the client's answers pile up without end")
+			t.Fatal("unread answers exceed 64 MB and the client is still open")
 		}
-		commands{c: c, got: []received{{reply: answer}}}.apply(l)
+		commandBatch{client: c, commands: []receivedCommand{{reply: answer}}}.apply(l)
 	}
 	if len(c.backlog) != 0 || len(l.clients) != 0 {
-		t.Error("the client is kept")
+		t.Error("the client or its backlog is still held")
 	}
 }
 
-// Many commands at once are all answered, though only so many may be owed at a time.
-func TestDeepPipeline(t *testing.T) {
-	c := newRig(t, long, newBackend(t)).dial(t)
-	const n = 5 * owedMost
+// Guards against lost commands in a pipeline that is longer than the limit of pending answers.
+func TestLongPipelineIsAnsweredCompletely(t *testing.T) {
+	c := newHarness(t, longTarget, newBackend(t)).dial(t)
+	const n = 5 * maxPendingAnswers
 	go io.WriteString(c.conn, strings.Repeat("*1\r\n$4\r\nPING\r\n", n))
 	for range n {
-		c.want("+PONG")
+		c.expect("+PONG")
 	}
 }
 
-// Over the bound of open requests, or of the memory that they hold, a request is refused at once.
+// Guards against unbounded open requests: above the limit on their number or on the memory they hold, a request is
+// refused at once.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	for name, fill := range map[string]func(l *loop){
 		"open": func(l *loop) { l.cfg.Settings.OpenCap = 1 },
-		"held": func(l *loop) { l.held = l.cfg.MemoryMB << 20 / heldPart },
+		"held": func(l *loop) { l.openCommandBytes = l.cfg.MemoryMB << 20 / commandMemoryDivisor },
 	} {
-		l := still(t, unreachable(t))
-		first, _ := open(t, l)
+		l := newManualLoop(t, unreachableServers(t))
+		first, _ := openRequest(t, l)
 		fill(l)
-		near, far := pair(t)
-		c := clientOn(t, near)
+		near, far := tcpPair(t)
+		c := newClientOn(t, near)
 		second := *first.cmd
 		second.args = append([][]byte{}, first.cmd.args...)
 		second.args[idArg] = []byte("id-2")
-		commands{c: c, got: []received{{cmd: &second}}}.apply(l)
+		commandBatch{client: c, commands: []receivedCommand{{cmd: &second}}}.apply(l)
 		l.closeClient(c, closeLeft)
-		if got := text(t, far); got != "-BUSY 1000\r\n" {
+		if got := readAll(t, far); got != "-BUSY 1000\r\n" {
 			t.Errorf("%s: got %q, want a refusal", name, got)
 		}
 	}
 }
 
-// Clients and servers together stay within the descriptors, and a client over the last of them is sent away.
+// Guards against running out of descriptors. Connections to clients and servers together stay within the limit, and a
+// client above it is disconnected.
 func TestDescriptorsAreBounded(t *testing.T) {
-	l := still(t, unreachable(t))
-	for range l.cfg.Sockets - leastSockets {
-		c := &client{slots: []*slot{{}}} // owed an answer, so not to be evicted
+	l := newManualLoop(t, unreachableServers(t))
+	for range l.cfg.Sockets - minSockets {
+		c := &client{slots: []*slot{{}}} // has a pending answer, so it is not evicted
 		l.clients[c] = struct{}{}
 	}
-	if room := l.pool.room(); room+len(l.clients)+reserveSockets > l.cfg.Sockets || room < 1 {
-		t.Errorf("room for %d connections to servers beside %d clients", room, len(l.clients))
+	if room := l.pool.connLimit(); room+len(l.clients)+reservedSockets > l.cfg.Sockets || room < 1 {
+		t.Errorf("room for %d connections to servers with %d clients", room, len(l.clients))
 	}
-	near, far := pair(t)
+	near, far := tcpPair(t)
 	before := len(l.clients)
-	join(l, clientOn(t, near))
-	if got := text(t, far); got != "" || len(l.clients) != before {
-		t.Errorf("the client got %q, %d are kept of %d", got, len(l.clients), before)
+	joinClient(l, newClientOn(t, near))
+	if got := readAll(t, far); got != "" || len(l.clients) != before {
+		t.Errorf("the client got %q; %d clients are open, want %d", got, len(l.clients), before)
 	}
 }
 
-// A command of which a part has come when its connection is to end is still read to its end and answered.
-func TestWeanedConnectionFinishesItsCommand(t *testing.T) {
-	l := still(t, nil)
-	near, far := pair(t)
-	c := clientOn(t, near)
+// Guards against losing a command that has partly arrived when its connection is drained: it is read to its end and
+// answered.
+func TestDrainedConnectionFinishesItsCommand(t *testing.T) {
+	l := newManualLoop(t, nil)
+	near, far := tcpPair(t)
+	c := newClientOn(t, near)
 	if _, err := io.WriteString(far, "*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nPI"); err != nil {
 		t.Fatal(err)
 	}
-	join(l, c)
-	step(l)
+	joinClient(l, c)
+	applyPosted(l)
 	l.drain(c)
 	if _, err := io.WriteString(far, "NG\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, l, func() bool { return c.closed() })
-	if got := text(t, far); got != "+PONG\r\n+PONG\r\n" {
+	runUntil(t, l, func() bool { return c.closed() })
+	if got := readAll(t, far); got != "+PONG\r\n+PONG\r\n" {
 		t.Errorf("the client got %q", got)
 	}
 }
 
-// limited is a connection that keeps the time limit last set on its writes.
-type limited struct {
-	link
-	by time.Time
+// deadlineRecorder is a connection that records the latest deadline set on its writes.
+type deadlineRecorder struct {
+	streamConn
+	deadline time.Time
 }
 
-func (c *limited) SetWriteDeadline(by time.Time) error {
-	c.by = by
-	return c.link.SetWriteDeadline(by)
+func (c *deadlineRecorder) SetWriteDeadline(by time.Time) error {
+	c.deadline = by
+	return c.streamConn.SetWriteDeadline(by)
 }
 
-// The time limit of a slow write ends with it: one that stayed would fail the answers to come and lose them.
-func TestTimeLimitEndsWithItsWrite(t *testing.T) {
-	near, far := narrow(t)
-	l, c := still(t, nil), clientOn(t, near)
-	conn := &limited{link: c.conn}
+// Guards against a write deadline that stays set after a slow write: it would fail later writes, and their answers
+// would be lost.
+func TestWriteDeadlineEndsWithItsWrite(t *testing.T) {
+	near, far := smallBufferPair(t)
+	l, c := newManualLoop(t, nil), newClientOn(t, near)
+	conn := &deadlineRecorder{streamConn: c.conn}
 	c.conn = conn
 	go io.Copy(io.Discard, far)
 	ended := make(chan error, 1)
-	c.finish(l, bytes.Repeat([]byte("x"), 64<<10), writeLimit{total: patience}, func(err error) event {
+	c.writeRest(l, bytes.Repeat([]byte("x"), 64<<10), writeTimeouts{total: testTimeout}, func(err error) event {
 		ended <- err
 		return nil
 	})
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	if !conn.by.IsZero() {
-		t.Errorf("the time limit still stands, %v from now", time.Until(conn.by))
+	if !conn.deadline.IsZero() {
+		t.Errorf("the write deadline is still set, %v from now", time.Until(conn.deadline))
 	}
 }
 
-// The last byte of a request follows the first soon or not at all: the deadline that it tells would else be too late, and a
-// repeat no longer known for one.
-func TestLastByteFollowsSoon(t *testing.T) {
-	l, a, far := large(t)
-	begun := time.Now()
-	for !a.over {
-		step(l)
+// Guards against a request whose last byte is written long after its first. Its d would promise more time than the
+// client has left, and the server might no longer recognise it as a repeat.
+func TestSlowlyWrittenRequestIsGivenUp(t *testing.T) {
+	l, a, far := openLargeRequest(t)
+	started := time.Now()
+	for !a.ended {
+		applyPosted(l)
 	}
-	if e := l.todo[len(l.todo)-1].(decide.AttemptEnded); e.Outcome != decide.NoConnection || a.whole {
+	if e := l.pendingEvents[len(l.pendingEvents)-1].(decide.AttemptEnded); e.Outcome != decide.NoConnection || a.sent {
 		t.Errorf("the outcome is %v", e.Outcome)
 	}
-	if took := time.Since(begun); took < requestWrite-10*time.Millisecond {
-		t.Errorf("given up after %v", took)
+	if took := time.Since(started); took < requestWriteTimeout-10*time.Millisecond {
+		t.Errorf("the write was given up too early, after %v", took)
 	}
 	far.Close()
 	now := l.clock.now()
 	for name, tc := range map[string]struct{ until, before, want time.Duration }{
-		"much time":       {time.Second, 0, requestWrite},
+		"much time":       {time.Second, 0, requestWriteTimeout},
 		"little time":     {time.Second / 50, 0, time.Second / 50},
 		"a window's end":  {time.Second, time.Second / 40, time.Second / 40},
 		"no time":         {-time.Second, 0, time.Millisecond},
 		"a window passed": {time.Second, -time.Second, time.Millisecond},
 	} {
-		b := &attempt{until: now + tc.until}
+		b := &attempt{deadline: now + tc.until}
 		if tc.before != 0 {
-			b.before = now + tc.before
+			b.sendBefore = now + tc.before
 		}
-		if got := l.pool.lastByteWithin(b); got > tc.want || got < time.Millisecond {
+		if got := l.pool.requestWriteLimit(b); got > tc.want || got < time.Millisecond {
 			t.Errorf("%s: %v, want %v", name, got, tc.want)
 		}
 	}
 }
 
-// An answer may be handed to the loop before the report that its request was written whole: both come from goroutines of
-// their own. It is the request's answer all the same.
-func TestAnswerOvertakesTheWritersReport(t *testing.T) {
-	l, a, far := large(t)
+// Guards against dropping an answer that reaches the loop before the event that its request was written completely.
+// The two events come from different goroutines.
+func TestAnswerBeforeWriteCompletionIsKept(t *testing.T) {
+	l, a, far := openLargeRequest(t)
 	go io.Copy(io.Discard, far)
 	var late []event
-	for c := a.conn; !c.wrote.Load() || len(late) == 0; {
-		late = append(late, next(t, l)) // the report
+	for c := a.conn; !c.requestWritten.Load() || len(late) == 0; {
+		late = append(late, nextEvent(t, l)) // the event that the request was written
 	}
-	if _, err := io.WriteString(far, served("v")); err != nil {
+	if _, err := io.WriteString(far, servedReply("v")); err != nil {
 		t.Fatal(err)
 	}
-	e, ok := next(t, l).(answered)
-	if !ok || !e.behind {
+	e, ok := nextEvent(t, l).(answerReceived)
+	if !ok || !e.afterRequest {
 		t.Fatalf("got %+v", e)
 	}
-	client := a.req.client
+	client := a.request.client
 	e.apply(l)
 	for _, e := range late {
 		e.apply(l)
 	}
-	if got := l.metrics.Answers.Of(resultServed); got != 1 || a.outcome != decide.OK || len(client.slots) > 0 {
+	if got := l.metrics.Answers.Count(resultServed); got != 1 || a.outcome != decide.OK || len(client.slots) > 0 {
 		t.Errorf("served %d, the attempt ended as %v", got, a.outcome)
 	}
 }
--- a/internal/gateway/steady_test.go
+++ b/internal/gateway/steady_test.go
@@ -12,10 +12,11 @@
 	"time"
 )
 
-// rigOfAnswers is a gateway with so many servers, each of which answers every request with a value of so many bytes.
-func rigOfAnswers(t *testing.T, servers, size int) *rig {
+// startAnsweringGateway starts a gateway with the given number of servers. Each server answers every request with a
+// value of size bytes.
+func startAnsweringGateway(t *testing.T, servers, size int) *harness {
 	t.Helper()
-	value := served(strings.Repeat("v", size))
+	value := servedReply(strings.Repeat("v", size))
 	var backends []*backend
 	for range servers {
 		b := newBackend(t)
@@ -28,11 +29,12 @@
 			}
 		}()
 	}
-	return newRig(t, long, backends...)
+	return newHarness(t, longTarget, backends...)
 }
 
-// dialSmallWindow connects with the smallest receive buffer. The window is agreed as the connection comes up.
-func dialSmallWindow(t *testing.T, r *rig) net.Conn {
+// dialSmallWindow connects to the gateway with the smallest receive buffer. It has to be set before the handshake,
+// which negotiates the window.
+func dialSmallWindow(t *testing.T, r *harness) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
@@ -47,20 +49,20 @@
 	return conn
 }
 
-// A client that takes its answers slowly but steadily is alive: it gets all of them, however long that takes and however
-// much is owed to it at once.
+// Guards against disconnecting a client that reads slowly but steadily. It gets all its answers, however long that
+// takes and however many are pending at once.
 func TestSteadySlowClientGetsAllAnswers(t *testing.T) {
 	const (
-		servers  = 16 // so many that none of the requests is refused
+		servers  = 16 // enough that no request is refused
 		requests = 60
 		size     = 60 << 10
 		perRead  = 16 << 10
-		pause    = 5 * time.Millisecond // more than 2 s for all, which is how long a client may take nothing
+		pause    = 5 * time.Millisecond // more than 2 s in total, which is longer than a client may accept nothing
 	)
-	conn := dialSmallWindow(t, rigOfAnswers(t, servers, size))
+	conn := dialSmallWindow(t, startAnsweringGateway(t, servers, size))
 	var batch strings.Builder
 	for i := range requests {
-		batch.WriteString(asked(fmt.Sprint("id-", i)))
+		batch.WriteString(rawRequest(fmt.Sprint("id-", i)))
 	}
 	if _, err := io.WriteString(conn, batch.String()); err != nil {
 		t.Fatal(err)
@@ -68,21 +70,21 @@
 	want := requests * len(fmt.Sprintf("$%d\r\n%s\r\n", size, strings.Repeat("v", size)))
 	got, buf := 0, make([]byte, perRead)
 	for got < want {
-		if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		n, err := conn.Read(buf)
 		got += n
 		if err != nil {
-			t.Fatalf("%d of %d bytes had come when the connection ended with %v", got, want, err)
+			t.Fatalf("the connection ended after %d of %d bytes: %v", got, want, err)
 		}
 		time.Sleep(pause)
 	}
 }
 
-// What a slow client has not read yet when its connection is ended must reach it, also if it goes on sending: a close over
-// unread bytes would reset the connection and destroy what is under way.
-func TestEndReachesASlowClient(t *testing.T) {
+// Guards against losing answers that a slow client has not read when its connection ends, even if the client keeps
+// sending. Closing with unread input would reset the connection and destroy data in transit.
+func TestCloseDeliversAnswersToSlowClient(t *testing.T) {
 	const (
 		servers  = 16
 		requests = 20
@@ -90,56 +92,57 @@
 		perRead  = 4 << 10
 		pause    = 3 * time.Millisecond
 	)
-	conn := dialSmallWindow(t, rigOfAnswers(t, servers, size))
+	conn := dialSmallWindow(t, startAnsweringGateway(t, servers, size))
 	var batch strings.Builder
 	for i := range requests {
-		batch.WriteString(asked(fmt.Sprint("id-", i)))
+		batch.WriteString(rawRequest(fmt.Sprint("id-", i)))
 	}
-	batch.WriteString("*1\r\n$-7\r\n") // ends the connection behind the answers
+	batch.WriteString("*1\r\n$-7\r\n") // ends the connection after the answers
 	if _, err := io.WriteString(conn, batch.String()); err != nil {
 		t.Fatal(err)
 	}
 	want := requests * len(fmt.Sprintf("$%d\r\n%s\r\n", size, strings.Repeat("v", size)))
 	got, buf := 0, make([]byte, perRead)
 	for got < want {
-		if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		n, err := conn.Read(buf)
 		got += n
 		if err != nil {
-			t.Fatalf("%d of %d bytes had come when the connection ended with %v", got, want, err)
+			t.Fatalf("the connection ended after %d of %d bytes: %v", got, want, err)
 		}
-		if got >= want { // the gateway may close it from here on
+		if got >= want { // the gateway may close the connection from now on
 			break
 		}
 		if _, err := io.WriteString(conn, "more"); err != nil {
-			t.Fatalf("%d of %d bytes had come when a write failed with %v", got, want, err)
+			t.Fatalf("a write failed after %d of %d bytes: %v", got, want, err)
 		}
 		time.Sleep(pause)
 	}
 }
 
-// A gateway that stops reads nothing more from a client that is slow to take what it is owed: what such a client goes on sending
-// could not be answered before the platform ends the gateway. Left unread, it is sent again elsewhere. What was read before is
-// answered, also where more commands have come than may be owed an answer at once.
-func TestStopReadsNoMoreFromASlowClient(t *testing.T) {
+// Guards against a stopping gateway that goes on reading from a client that is slow to accept its answers. Commands
+// read then could not be answered before the platform kills the gateway. A client resends elsewhere what is left
+// unread. Commands that were read before are answered, even if there are more of them than answers may be pending at
+// once.
+func TestStopDoesNotReadFromSlowClient(t *testing.T) {
 	for _, requests := range []int{100, 200} {
-		t.Run(fmt.Sprint(requests), func(t *testing.T) { stopsReadingFromASlowClient(t, requests) })
+		t.Run(fmt.Sprint(requests), func(t *testing.T) { checkStopWithSlowClient(t, requests) })
 	}
 }
 
-func stopsReadingFromASlowClient(t *testing.T, requests int) {
+func checkStopWithSlowClient(t *testing.T, requests int) {
 	const (
 		servers = 16
 		size    = 60 << 10
 		perRead = 16 << 10
 	)
-	r := rigOfAnswers(t, servers, size)
+	r := startAnsweringGateway(t, servers, size)
 	conn := dialSmallWindow(t, r)
 	var batch strings.Builder
 	for i := range requests {
-		batch.WriteString(asked(fmt.Sprint("id-", i)))
+		batch.WriteString(rawRequest(fmt.Sprint("id-", i)))
 	}
 	if _, err := io.WriteString(conn, batch.String()); err != nil {
 		t.Fatal(err)
@@ -149,33 +152,34 @@
 		t.Fatal(err)
 	}
 	r.stop()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) { // until connections are drained
+	// The listener closes when connections are drained.
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		other, err := net.Dial("tcp", r.addr)
 		if err != nil {
 			break
 		}
 		other.Close()
 		if time.Now().After(end) {
-			t.Fatal("the listener stays open")
+			t.Fatal("the listener is still open")
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	if _, err := io.WriteString(conn, asked("late")); err != nil {
+	if _, err := io.WriteString(conn, rawRequest("late")); err != nil {
 		t.Fatal(err)
 	}
-	if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	got := 0
 	for ; ; got++ {
 		line, err := answers.ReadString('\n')
 		if err != nil {
-			break // its end, perhaps by a reset, as something is unread
+			break // the end of the connection, possibly a reset because input is left unread
 		}
 		size := 0
 		if _, err := fmt.Sscanf(line, "$%d\r\n", &size); err == nil {
 			if _, err := answers.Discard(size + 2); err != nil {
-				t.Fatalf("answer %d is cut: %v", got, err)
+				t.Fatalf("answer %d is truncated: %v", got, err)
 			}
 		}
 	}
--- a/internal/gateway/timer.go
+++ b/internal/gateway/timer.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// timer is a call that is due at a time.
+// timer is a function call that is scheduled for a time.
 type timer struct {
 	at    time.Duration
-	do    func()
-	index int // in the heap, or -1
+	call  func()
+	index int // in the heap, or -1 if it has fired or was cancelled
 }
 
-// timers is a heap of timers, the next one first.
-type timers []*timer
+// timerHeap is a heap of timers, the earliest first.
+type timerHeap []*timer
 
-func (a timers) Len() int           { return len(a) }
-func (a timers) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a timers) Swap(i, j int) {
-	a[i], a[j] = a[j], a[i]
-	a[i].index, a[j].index = i, j
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (a *timers) Push(x any) {
-	x.(*timer).index = len(*a)
-	*a = append(*a, x.(*timer))
+func (h *timerHeap) Push(x any) {
+	x.(*timer).index = len(*h)
+	*h = append(*h, x.(*timer))
 }
-func (a *timers) Pop() any {
-	old := *a
+func (h *timerHeap) Pop() any {
+	old := *h
 	n := len(old) - 1
 	x := old[n]
 	old[n], x.index = nil, -1
-	*a = old[:n]
+	*h = old[:n]
 	return x
 }
 
-// fireTimers makes the calls that are due.
+// fireTimers runs the timers that are due.
 func (l *loop) fireTimers() {
 	now := l.clock.now()
 	for len(l.timers) > 0 && l.timers[0].at <= now {
-		heap.Pop(&l.timers).(*timer).do()
-		l.drainTodo()
+		heap.Pop(&l.timers).(*timer).call()
+		l.processPending()
 	}
 }
 
-// schedule makes a call at a time of the loop's clock.
-func (l *loop) schedule(t time.Duration, do func()) *timer {
-	due := &timer{at: t, do: do}
-	heap.Push(&l.timers, due)
-	return due
+// schedule runs a function at a time of the loop's clock.
+func (l *loop) schedule(at time.Duration, call func()) *timer {
+	scheduled := &timer{at: at, call: call}
+	heap.Push(&l.timers, scheduled)
+	return scheduled
 }
 
-// cancelTimer takes a timer back, if it has not fired. One that is left to fire would hold what it is about until then: a
-// client's request for as long as the client would have waited.
+// cancelTimer cancels a timer that has not fired. If it were left to fire, it would keep its data in memory until
+// then, such as a client's request for as long as the client would have waited.
 func (l *loop) cancelTimer(t *timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -18,10 +18,10 @@
 	"winghatch/internal/watch"
 )
 
-// A watch that is silent is given up and made again, and the next call goes on from the version last told.
-// Without the bound a gateway would wait for ever on discovery that went down with the call in hand; with a
-// watch instead of short calls it would learn that discovery is back only when that watch is over.
-func TestWatchOutlivesSilence(t *testing.T) {
+// A watch call without an answer must time out, and the next calls must continue from the last known version. Without the
+// timeout a gateway would wait forever for a discovery service that went down during the call. The calls after a failure
+// must not wait for changes: otherwise the gateway would learn that discovery is back only at the end of such a wait.
+func TestWatchRecoversFromSilentDiscovery(t *testing.T) {
 	calls := make(chan string, 16)
 	n := 0
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -43,14 +43,14 @@
 	defer web.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	news := make(chan fleetNews, 16)
-	w := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(e event) {
+	lists := make(chan listReceived, 16)
+	w := newDiscoveryWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(e event) {
 		select {
-		case news <- e.(fleetNews):
-		default: // the last case goes on answering
+		case lists <- e.(listReceived):
+		default: // the last case keeps answering
 		}
 	}, slog.New(slog.DiscardHandler))
-	w.wait, w.over, w.check = 10*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
+	w.watchWait, w.watchGrace, w.checkTimeout = 10*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond
 	go w.run(ctx)
 	for _, want := range []string{"", "after=41&wait_ms=10", "after=41&wait_ms=0", "after=41&wait_ms=0", "after=41&wait_ms=0",
 		"after=41&wait_ms=0", "after=42&wait_ms=10"} {
@@ -58,17 +58,18 @@
 			t.Errorf("call %q, want %q", got, want)
 		}
 	}
-	first, second := <-news, <-news
-	if s := first.list.Servers[0].server(); first.kind != decide.FleetFull || s.State != decide.Serving || s.Started != 7*time.Millisecond || s.Cell != 3 {
-		t.Errorf("first told %+v", first)
+	first, second := <-lists, <-lists
+	if s := first.list.Servers[0].decideServer(); first.kind != decide.FleetFull || s.State != decide.Serving || s.Started != 7*time.Millisecond || s.Cell != 3 {
+		t.Errorf("first list %+v", first)
 	}
-	if s := second.list.Servers[0].server(); second.kind != decide.FleetDelta || s.State != decide.Draining {
-		t.Errorf("then told %+v", second)
+	if s := second.list.Servers[0].decideServer(); second.kind != decide.FleetDelta || s.State != decide.Draining {
+		t.Errorf("second list %+v", second)
 	}
 }
 
-// Only messages of at most 256 bytes from a known gateway are taken.
-func TestPeers(t *testing.T) {
+// Peer messages from unknown addresses and messages of more than 256 bytes must be dropped, whatever anyone sends to the
+// port. Oversized messages and unknown ranks must be rejected when sending as well.
+func TestUnknownSendersAndOversizedPeerMessagesAreDropped(t *testing.T) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	stranger, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
@@ -81,7 +82,7 @@
 	}
 	defer known.Close()
 	addr := func(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
-	p, err := openPeers(local, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(known)})
+	p, err := openPeerSocket(local, []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1"), addr(known)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,15 +92,15 @@
 	for _, m := range []struct {
 		from *net.UDPConn
 		text string
-	}{{stranger, "hi"}, {known, strings.Repeat("x", datagramMost+1)}, {known, strings.Repeat("y", datagramMost)}} {
+	}{{stranger, "hi"}, {known, strings.Repeat("x", maxDatagramBytes+1)}, {known, strings.Repeat("y", maxDatagramBytes)}} {
 		if _, err := m.from.WriteToUDPAddrPort([]byte(m.text), addr(p.conn)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if d := (<-got).(datagram); d.from != 1 || d.text != strings.Repeat("y", datagramMost) {
+	if d := (<-got).(peerDatagram); d.from != 1 || d.text != strings.Repeat("y", maxDatagramBytes) {
 		t.Errorf("got %d bytes from %d", len(d.text), d.from)
 	}
-	if err := p.tell(1, "hello"); err != nil {
+	if err := p.send(1, "hello"); err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 16)
@@ -107,63 +108,63 @@
 		t.Errorf("the peer got %q from %v, %v", buf[:n], from, err)
 	}
 	for _, to := range []int{-1, 2} {
-		if p.tell(to, "x") == nil {
+		if p.send(to, "x") == nil {
 			t.Errorf("a message to gateway %d was sent", to)
 		}
 	}
-	if p.tell(1, strings.Repeat("x", datagramMost+1)) == nil {
-		t.Error("a message that is too long was sent")
+	if p.send(1, strings.Repeat("x", maxDatagramBytes+1)) == nil {
+		t.Error("an oversized message was sent")
 	}
 }
 
-// Words beyond a few times the stated intake are dropped: each may take memory for seconds.
-func TestWordsBeyondTheIntakeAreDropped(t *testing.T) {
+// Peer messages beyond the rate limit must be dropped, because each may take memory for seconds.
+func TestPeerMessagesOverTheRateLimitAreDropped(t *testing.T) {
 	peer, from := holdUDP(t)
-	p, err := openPeers(mustAddr("127.0.0.1:0"), []netip.AddrPort{from})
+	p, err := openPeerSocket(mustAddr("127.0.0.1:0"), []netip.AddrPort{from})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.most = 3
+	p.maxPerWindow = 3
 	got, ended := make(chan event, 16), make(chan bool)
 	go func() {
 		p.read(func(e event) { got <- e }, slog.New(slog.DiscardHandler))
 		close(ended)
 	}()
-	at := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	for i := 0; len(got) < p.most; i++ { // on loopback they may be lost as well
-		if _, err := peer.WriteToUDPAddrPort([]byte{byte(i)}, at); err != nil {
+	addr := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	for i := 0; len(got) < p.maxPerWindow; i++ { // datagrams may be lost even on loopback
+		if _, err := peer.WriteToUDPAddrPort([]byte{byte(i)}, addr); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for range 10 {
-		if _, err := peer.WriteToUDPAddrPort([]byte("more"), at); err != nil {
+		if _, err := peer.WriteToUDPAddrPort([]byte("more"), addr); err != nil {
 			t.Fatal(err)
 		}
 	}
 	p.conn.Close()
 	<-ended
-	for range p.most {
+	for range p.maxPerWindow {
 		<-got
 	}
-	if len(got) > 2*p.most { // the span may have ended once or, on a busy machine, twice
-		t.Errorf("%d more were taken", len(got))
+	if len(got) > 2*p.maxPerWindow { // a new window may have begun once or, on a busy machine, twice
+		t.Errorf("%d more messages were accepted", len(got))
 	}
 }
 
-// What a peer sends must never stop the module.
-func TestGarbageFromPeers(t *testing.T) {
-	l := still(t, unreachable(t))
-	before := l.core
+// A malformed peer message must not make the decision engine panic.
+func TestMalformedPeerMessagesDoNotPanic(t *testing.T) {
+	l := newManualLoop(t, unreachableServers(t))
+	before := l.engine
 	for _, s := range []string{"", "c", "c0000", "czzzz!", "c0000ABC", "c0000" + strings.Repeat("_", 12), strings.Repeat("\xff", 256)} {
-		datagram{1, s}.apply(l)
-		l.drainTodo()
+		peerDatagram{1, s}.apply(l)
+		l.processPending()
 	}
-	if l.core != before {
-		t.Error("the module panicked")
+	if l.engine != before {
+		t.Error("the decision engine panicked")
 	}
 }
 
-const sample = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const sampleConfig = `{"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peer_listen":"127.0.0.1:7946",
 "peers":["127.0.0.1:7946","127.0.0.2:7946"],"known":{"version":41,"full":true,"servers":[
 {"id":"s-5","addr":"127.0.0.1:5","zone":"a","kind":"m2","cell":3,"state":"up","weight":1.0,"started_ms":0}]},"settings":SETTINGS}`
@@ -171,14 +172,14 @@
 func TestLoadConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	load := func(text string) (Config, error) {
-		text = strings.Replace(text, "SETTINGS", fmt.Sprintf(profile, 5), 1)
+		text = strings.Replace(text, "SETTINGS", fmt.Sprintf(testSettings, 5), 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		env := map[string]string{"GW_CONFIG": path, "GW_LISTEN": "127.0.0.9:1"}
 		return LoadConfig(func(name string) string { return env[name] })
 	}
-	c, err := load(sample)
+	c, err := load(sampleConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,21 +203,21 @@
 		`SETTINGS|{}`:                                      "Gateways is 0",
 	} {
 		from, to, _ := strings.Cut(edit, "|")
-		if _, err := load(strings.Replace(sample, from, to, 1)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := load(strings.Replace(sampleConfig, from, to, 1)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got error %v, want one line with %q", to, err, want)
 		}
 	}
 	for _, env := range []string{"", filepath.Join(t.TempDir(), "none")} {
 		if _, err := LoadConfig(func(string) string { return env }); err == nil {
-			t.Errorf("GW_CONFIG %q passes", env)
+			t.Errorf("GW_CONFIG %q was accepted", env)
 		}
 	}
 }
 
-// Discovery that turns calls away is asked ever more seldom, at times that differ from gateway to gateway, and by
-// the watch itself, which goes on from the list that the gateway was started with. Asked again at once by every
-// gateway of a fleet, it would never get out of that.
-func TestOverbookedDiscoveryIsSpared(t *testing.T) {
+// An overloaded discovery service must be called with exponential backoff and with jitter, which differs from gateway to
+// gateway. The calls are watch calls that continue from the list the gateway was started with. If every gateway of a fleet
+// retried at once, discovery would never recover.
+func TestBusyDiscoveryIsRetriedWithBackoff(t *testing.T) {
 	const refusals = 8
 	calls := make(chan string, refusals+1)
 	n := 0
@@ -231,8 +232,8 @@
 	defer web.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(event) {}, slog.New(slog.DiscardHandler))
-	w.known, w.version = true, 41
+	w := newDiscoveryWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(event) {}, slog.New(slog.DiscardHandler))
+	w.hasList, w.version = true, 41
 	pauses := make(chan time.Duration, refusals)
 	w.pause = func(_ context.Context, d time.Duration) { pauses <- d }
 	go w.run(ctx)
@@ -244,23 +245,23 @@
 	}
 	seen := map[time.Duration]bool{}
 	for i := range refusals {
-		d, most := <-pauses, min(watch.RefusedFirst<<i, watch.RefusedMost)
-		if seen[d] = true; d < most/2 || d > most {
-			t.Errorf("pause %d is %v, want %v to %v", i, d, most/2, most)
+		d, maxPause := <-pauses, min(watch.FirstRefusalPause<<i, watch.MaxRefusalPause)
+		if seen[d] = true; d < maxPause/2 || d > maxPause {
+			t.Errorf("pause %d is %v, want %v to %v", i, d, maxPause/2, maxPause)
 		}
 	}
 	if len(seen) == 1 {
-		t.Error("all pauses are alike")
+		t.Error("all pauses are equal")
 	}
 }
 
-// A gateway without a list gives each call for it more time than the one before: on a call that was given up
-// discovery has worked in vain, and the next would wait in the same line.
-func TestWholeListIsWaitedForLonger(t *testing.T) {
-	const line = 50 * time.Millisecond // that calls wait in at discovery
+// A gateway without a list must give each call for the full list more time than the previous one. Discovery's work on a
+// call that timed out is wasted, and the next call would wait in the same queue.
+func TestFullListTimeoutGrowsWithEachCall(t *testing.T) {
+	const queueDelay = 50 * time.Millisecond // how long calls are queued at discovery
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		select {
-		case <-time.After(line):
+		case <-time.After(queueDelay):
 			fmt.Fprint(w, `{"version":41,"full":true,"servers":[]}`)
 		case <-req.Context().Done():
 		}
@@ -268,18 +269,18 @@
 	defer web.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	told := make(chan event, 1)
-	w := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(e event) { told <- e }, slog.New(slog.DiscardHandler))
-	w.check, w.pause = line/16, func(context.Context, time.Duration) {}
+	posted := make(chan event, 1)
+	w := newDiscoveryWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(e event) { posted <- e }, slog.New(slog.DiscardHandler))
+	w.checkTimeout, w.pause = queueDelay/16, func(context.Context, time.Duration) {}
 	go w.run(ctx)
-	if n := (<-told).(fleetNews); n.kind != decide.FleetFull {
-		t.Errorf("told %+v, want the whole list", n)
+	if n := (<-posted).(listReceived); n.kind != decide.FleetFull {
+		t.Errorf("got %+v, want the full list", n)
 	}
 }
 
-// Discovery whose versions are behind the list that the gateway was started with has begun anew, so the whole list
-// is asked for: a watch from a version that it never reaches would tell nothing.
-func TestDiscoveryThatBeganAnewIsAskedForAll(t *testing.T) {
+// If discovery's version is lower than that of the list the gateway was started with, discovery has restarted, and the
+// gateway must request the full list. A watch from a version that discovery may never reach would return nothing.
+func TestRestartedDiscoveryIsAskedForTheFullList(t *testing.T) {
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		switch req.URL.RawQuery {
 		case "":
@@ -293,28 +294,28 @@
 	defer web.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	told := make(chan event, 1)
-	w := newWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(e event) { told <- e }, slog.New(slog.DiscardHandler))
-	w.known, w.version = true, 41
+	posted := make(chan event, 1)
+	w := newDiscoveryWatcher(netip.MustParseAddrPort(strings.TrimPrefix(web.URL, "http://")), func(e event) { posted <- e }, slog.New(slog.DiscardHandler))
+	w.hasList, w.version = true, 41
 	go w.run(ctx)
-	if n := (<-told).(fleetNews); n.kind != decide.FleetFull || n.list.Version != 9 {
-		t.Errorf("told %+v, want the whole list of version 9", n)
+	if n := (<-posted).(listReceived); n.kind != decide.FleetFull || n.list.Version != 9 {
+		t.Errorf("got %+v, want the full list of version 9", n)
 	}
 }
 
-// Messages go out whatever the family of the socket and of the peer's address.
-func TestPeerAddressFamilies(t *testing.T) {
+// A peer message must be sent whatever the address families of the socket and of the peer are.
+func TestPeerMessagesWorkAcrossAddressFamilies(t *testing.T) {
 	for _, listen := range []string{"127.0.0.1:0", "[::]:0"} {
 		peer, addr := holdUDP(t)
-		p, err := openPeers(mustAddr(listen), []netip.AddrPort{addr})
+		p, err := openPeerSocket(mustAddr(listen), []netip.AddrPort{addr})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer p.conn.Close()
-		if err := p.tell(0, "word"); err != nil {
+		if err := p.send(0, "word"); err != nil {
 			t.Errorf("from %s: %v", listen, err)
 		}
-		if err := peer.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		if err := peer.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		buf := make([]byte, 16)
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -13,102 +13,106 @@
 )
 
 const (
-	perServerMost = 64      // connections to one server, open or being made
-	readFirst     = 1 << 10 // bytes of a connection's first read buffer
-	// What a server sends right behind an answer, such as a second copy, is on its way as long as the answer was,
-	// give or take the network's jitter. A connection that has stood for this long with nothing in the kernel is
-	// in step; one that is used sooner might bring the next request another one's answer.
+	maxConnsPerServer = 64      // connections to one server, open or being dialed
+	initialReadBuffer = 1 << 10 // initial size of a connection's read buffer, in bytes
+	// How long a connection rests after an answer before it is reused. Anything that a server sends right after an
+	// answer, such as a duplicate, takes as long to arrive as the answer did, plus or minus the network's jitter. If
+	// the kernel holds no data after this time, the connection is in sync. A connection that is reused sooner could
+	// give the next request another request's answer.
 	quiescenceTime = 10 * time.Millisecond
-	// A server writes an answer in one go. One that has begun and is not whole after this trickles, and the
-	// request has better uses for the time that is left to it.
-	answerWithin = 250 * time.Millisecond
-	// The loop may come to a time-out late, when the core was busy elsewhere: from so much on, what the server
-	// said may lie unread, and the time-out says nothing of the server.
-	lateness = 20 * time.Millisecond
-	// A connection that can't be made for a passing want of this machine is tried so often, with a pause that grows by
-	// dialRetry: 60 ms in all.
-	dialTries = 4
-	// The deadline that a request tells may be later than its client's by 0.15 s when its last byte arrives. It is made with
-	// the first byte, so the last one has to follow soon.
-	requestWrite = 100 * time.Millisecond
-	dialRetry    = 10 * time.Millisecond
+	// Limits the time from the first byte of an answer to its last. A server writes an answer in one go. If one is
+	// still incomplete after this time, the time left to the request is better spent otherwise.
+	answerReadTimeout = 250 * time.Millisecond
+	// How late the loop may handle a timeout that still counts against the server. The loop is late when the core was
+	// busy elsewhere. Beyond this delay the server's answer may be waiting unread, so the timeout says nothing about
+	// the server.
+	loopDelayTolerance = 20 * time.Millisecond
+	// How often a connection is tried while this machine lacks a resource or a route. The pause between tries grows by
+	// dialRetryDelay: 60 ms in total.
+	maxDialTries = 4
+	// Limits the time from the first byte of a request to its last. A request states the time that is left. When its
+	// last byte arrives, the resulting deadline may be at most 0.15 s later than the client's. The time left is
+	// computed with the first byte, so the last one has to follow soon.
+	requestWriteTimeout = 100 * time.Millisecond
+	dialRetryDelay      = 10 * time.Millisecond
 )
 
-// serverCloseReason says why a connection to a server was closed.
+// serverCloseReason is why a connection to a server was closed, as a metric label.
 type serverCloseReason string
 
-// The reasons.
 const (
-	serverReplaced  serverCloseReason = "replaced"    // the server drains, is gone or has moved
-	serverRoom      serverCloseReason = "room"        // another one needed its descriptor
-	serverIdle      serverCloseReason = "idle"        // nothing used it for long
-	serverOutOfStep serverCloseReason = "out_of_step" // something came unasked, or not all of an answer was read
-	serverBroken    serverCloseReason = "broken"
-	serverGivenUp   serverCloseReason = "given_up" // its attempt was called off or timed out
-	serverShutdown  serverCloseReason = "shutdown"
+	serverCloseReplaced         serverCloseReason = "replaced"    // the server is draining, was removed, or has moved
+	serverCloseEvicted          serverCloseReason = "room"        // another connection needed its descriptor
+	serverCloseIdle             serverCloseReason = "idle"        // unused for the idle timeout
+	serverCloseOutOfSync        serverCloseReason = "out_of_step" // unsolicited data, or an answer that was not fully read
+	serverCloseBroken           serverCloseReason = "broken"
+	serverCloseAttemptAbandoned serverCloseReason = "given_up" // its attempt was cancelled or timed out
+	serverCloseShutdown         serverCloseReason = "shutdown"
 )
 
-// upstream is one server.
+// upstream is a server with its connections.
 type upstream struct {
-	id    string
-	addr  string
-	entry decide.Server
-	conns int       // open or being made
-	idle  []*upConn // the last used last: it is the least likely to have been closed
+	id        string
+	addr      string
+	entry     decide.Server
+	connCount int             // open or being dialed
+	idle      []*upstreamConn // by last use; the most recently used, at the end, is the least likely to have been closed
 }
 
-// upConn is a connection to a server. It carries one attempt at a time, as giving an attempt up closes it. Its reader
-// is woken for each answer that is owed.
-type upConn struct {
+// upstreamConn is a connection to a server. It carries one attempt at a time, because abandoning an attempt closes its
+// connection. The reader is notified once for each pending answer.
+type upstreamConn struct {
 	connection
-	server *upstream
-	att    *attempt // whose answer is owed
-	used   time.Duration
-	wrote  atomic.Bool // the last byte of the latest request was written
+	server         *upstream
+	attempt        *attempt // whose answer is pending, or nil
+	lastUsed       time.Duration
+	requestWritten atomic.Bool // the last byte of the latest request has been written
 }
 
-func newUpConn(conn net.Conn, s *upstream, now time.Duration) (*upConn, error) {
-	life, err := newConnection(conn)
-	return &upConn{connection: life, server: s, used: now}, err
+func newUpstreamConn(conn net.Conn, s *upstream, now time.Duration) (*upstreamConn, error) {
+	base, err := newConnection(conn)
+	return &upstreamConn{connection: base, server: s, lastUsed: now}, err
 }
 
-// attempt is one try at one server.
+// attempt is one try of a request at one server.
 type attempt struct {
-	req       *request
-	n         int
-	server    *upstream      // nil: unknown to this gateway
-	place     decide.Server  // its server's entry as the attempt began
-	outcome   decide.Outcome // once it is over
-	at, until time.Duration
-	before    time.Duration // nothing of it may be written later, if not 0
-	conn      *upConn       // nil until it has one
-	expiry    *timer
-	whole     bool // the last byte may have been written
-	over      bool
-}
-
-// pool keeps the servers and the connections to them.
+	request       *request
+	index         int
+	server        *upstream      // nil if this gateway does not know it
+	serverAtStart decide.Server  // the server's entry when the attempt started
+	outcome       decide.Outcome // valid once the attempt has ended
+	started       time.Duration
+	deadline      time.Duration // when the answer is due
+	sendBefore    time.Duration // if not 0, no byte may be written after this time
+	conn          *upstreamConn // nil until the request is written to one
+	deadlineTimer *timer
+	sent          bool // the last byte of the request may have been written
+	ended         bool
+}
+
+// pool holds the known servers and the connections to them.
 type pool struct {
-	l        *loop
-	servers  map[string]*upstream
-	all      map[*upConn]struct{} // that are open
-	conns    int                  // open or being made, of all servers
-	most     int
-	dialFor  time.Duration
-	idleFor  time.Duration
-	sweeping bool
+	loop           *loop
+	servers        map[string]*upstream
+	open           map[*upstreamConn]struct{}
+	connCount      int // open or being dialed, of all servers
+	maxConns       int
+	dialTimeout    time.Duration
+	idleTimeout    time.Duration
+	sweepScheduled bool
 }
 
 func newPool(l *loop, cfg Config) pool {
-	return pool{l: l, servers: map[string]*upstream{}, all: map[*upConn]struct{}{}, most: upstreamSockets(cfg.Sockets),
-		dialFor: cfg.Settings.Decide.Limits.ConnectTimeout, idleFor: cfg.Settings.Decide.Limits.ConnKept}
+	return pool{loop: l, servers: map[string]*upstream{}, open: map[*upstreamConn]struct{}{},
+		maxConns: upstreamSockets(cfg.Sockets), dialTimeout: cfg.Settings.Decide.Limits.ConnectTimeout,
+		idleTimeout: cfg.Settings.Decide.Limits.ConnKept}
 }
 
-// update takes an entry of the list. The id is the server; its address and its process may change.
+// update applies an entry of the server list. The ID identifies a server; its address and its process may change.
 func (p *pool) update(e decide.Server, addr string) {
 	s := p.servers[e.ID]
 	if s == nil {
-		if e.State == decide.Gone {
+		if e.State == decide.Removed {
 			return
 		}
 		s = &upstream{id: e.ID}
@@ -117,38 +121,38 @@
 	moved := s.addr != addr || s.entry.Started != e.Started
 	s.addr, s.entry = addr, e
 	if moved || e.State != decide.Serving {
-		p.closeIdle(s) // they lead to a process that is gone, or are not needed again
+		p.closeIdle(s) // they lead to a process that is gone, or are no longer needed
 	}
-	p.forget(s)
+	p.removeIfUnused(s)
 }
 
-// forget drops a server that is gone once no connection leads to it. Fleets renew their machines under new ids,
-// so without this the table would grow for as long as the gateway runs.
-func (p *pool) forget(s *upstream) {
-	if s.entry.State == decide.Gone && s.conns == 0 {
+// removeIfUnused deletes a removed server once it has no connections left. Fleets replace their machines under new IDs, so
+// without this the table would grow for as long as the gateway runs.
+func (p *pool) removeIfUnused(s *upstream) {
+	if s.entry.State == decide.Removed && s.connCount == 0 {
 		delete(p.servers, s.id)
 	}
 }
 
-// keepOnly takes that a whole list leaves servers out.
-func (p *pool) keepOnly(listed map[string]bool) {
+// removeUnlisted marks the servers that are missing from a full list as removed.
+func (p *pool) removeUnlisted(listed map[string]bool) {
 	for id, s := range p.servers {
 		if !listed[id] {
-			s.entry.State = decide.Gone
+			s.entry.State = decide.Removed
 			p.closeIdle(s)
-			p.forget(s)
+			p.removeIfUnused(s)
 		}
 	}
 }
 
 func (p *pool) closeIdle(s *upstream) {
 	for len(s.idle) > 0 {
-		p.close(s.idle[len(s.idle)-1], serverReplaced)
+		p.close(s.idle[len(s.idle)-1], serverCloseReplaced)
 	}
 }
 
-// listed is the list as last told, in the order of ids.
-func (p *pool) listed() []decide.Server {
+// currentServers returns the latest known server list, sorted by ID.
+func (p *pool) currentServers() []decide.Server {
 	var all []decide.Server
 	for _, s := range p.servers {
 		all = append(all, s.entry)
@@ -157,37 +161,38 @@
 	return all
 }
 
-// start puts an attempt on an idle connection, or on a new one.
+// start sends an attempt on an idle connection, or dials a new one.
 func (p *pool) start(a *attempt) {
 	s := a.server
 	if s == nil || s.entry.State != decide.Serving {
-		p.l.ended(a, decide.NoConnection)
+		p.loop.attemptEnded(a, decide.NoConnection)
 		return
 	}
 	if p.tooLate(a) {
-		p.l.ended(a, decide.NoConnection)
+		p.loop.attemptEnded(a, decide.NoConnection)
 		return
 	}
-	for c := p.reusable(s); c != nil; c = p.reusable(s) {
-		if p.write(c, a) {
+	for c := p.takeReusable(s); c != nil; c = p.takeReusable(s) {
+		if p.sendRequest(c, a) {
 			return
 		}
 	}
-	if p.conns >= p.room() {
-		p.evict()
+	if p.connCount >= p.connLimit() {
+		p.evictLongestIdle()
 	}
-	if s.conns >= perServerMost || p.conns >= p.room() {
-		p.l.ended(a, decide.Moot) // no fault of the server's, which heard nothing of it
+	if s.connCount >= maxConnsPerServer || p.connCount >= p.connLimit() {
+		p.loop.attemptEnded(a, decide.NotSent) // not the server's fault: it never saw the request
 		return
 	}
 	p.dial(a)
 }
 
-// reusable takes the idle connection that was used last, of those that have stood for quiescenceTime.
-func (p *pool) reusable(s *upstream) *upConn {
-	now := p.l.clock.now()
+// takeReusable removes and returns the most recently used of the connections that have been idle for quiescenceTime, or
+// returns nil.
+func (p *pool) takeReusable(s *upstream) *upstreamConn {
+	now := p.loop.clock.now()
 	for i := len(s.idle) - 1; i >= 0; i-- {
-		if c := s.idle[i]; c.used+quiescenceTime <= now {
+		if c := s.idle[i]; c.lastUsed+quiescenceTime <= now {
 			s.idle = slices.Delete(s.idle, i, i+1)
 			return c
 		}
@@ -195,295 +200,298 @@
 	return nil
 }
 
-// room is how many connections there may be, of all servers: clients over their share take from it.
-func (p *pool) room() int {
-	return min(p.most, p.l.cfg.Sockets-reserveSockets-acceptAhead-len(p.l.clients))
+// connLimit returns how many connections to all servers together are allowed now. Clients beyond their share of the
+// descriptors reduce it.
+func (p *pool) connLimit() int {
+	return min(p.maxConns, p.loop.cfg.Sockets-reservedSockets-acceptBacklog-len(p.loop.clients))
 }
 
-// evict closes the connection that has stood idle for longest.
-func (p *pool) evict() {
-	var oldest *upConn
+// evictLongestIdle closes the connection that has been idle for the longest time.
+func (p *pool) evictLongestIdle() {
+	var oldest *upstreamConn
 	for _, s := range p.servers {
-		if len(s.idle) > 0 && (oldest == nil || s.idle[0].used < oldest.used) {
+		if len(s.idle) > 0 && (oldest == nil || s.idle[0].lastUsed < oldest.lastUsed) {
 			oldest = s.idle[0]
 		}
 	}
 	if oldest != nil {
-		p.close(oldest, serverRoom)
+		p.close(oldest, serverCloseEvicted)
 	}
 }
 
-// tooLate reports whether an attempt must not begin any more: no answer could come in time, or it is a repeat and servers would
-// no longer know it for one. The loop may get to it late.
+// tooLate reports whether it is too late to start an attempt, which can happen because the loop may handle it late: no
+// answer could arrive in time, or the attempt is a retry and servers would no longer recognize it as one.
 func (p *pool) tooLate(a *attempt) bool {
-	now := p.l.clock.now()
-	return now >= a.until || a.before > 0 && now > a.before
+	now := p.loop.clock.now()
+	return now >= a.deadline || a.sendBefore > 0 && now > a.sendBefore
 }
 
-// write sends an attempt on a connection. It reports false if the connection took nothing of it, so that
-// another may be tried: nothing has reached the server. A connection on which something waits unasked is out
-// of step, or at its end, and takes nothing.
-func (p *pool) write(c *upConn, a *attempt) bool {
+// sendRequest writes an attempt's request to a connection. It returns false if the connection accepted no byte: then
+// nothing has reached the server, and another connection may be tried. A connection with unsolicited data is out of
+// sync or at its end, and gets no request.
+func (p *pool) sendRequest(c *upstreamConn, a *attempt) bool {
 	if !c.conn.Quiet() {
-		p.close(c, serverOutOfStep)
+		p.close(c, serverCloseOutOfSync)
 		return false
 	}
-	if !p.l.guard.begin(p.l, c, a) {
-		p.l.ended(a, decide.Moot)
-		p.park(c)
+	if !p.loop.guard.allowAttempt(p.loop, c, a) {
+		p.loop.attemptEnded(a, decide.NotSent)
+		p.putIdle(c)
 		return true
 	}
-	b := a.req.cmd.frame(a.until - p.l.clock.now())
-	n, err := c.try(b)
+	b := a.request.cmd.encode(a.deadline - p.loop.clock.now())
+	n, err := c.tryWrite(b)
 	if err != nil {
-		p.close(c, serverBroken)
+		p.close(c, serverCloseBroken)
 		if n > 0 {
-			p.l.ended(a, decide.NoConnection) // broken before the last byte
+			p.loop.attemptEnded(a, decide.NoConnection) // the connection broke before the last byte was written
 		}
 		return n > 0
 	}
-	c.att, a.conn, c.used = a, c, p.l.clock.now()
-	c.wrote.Store(n == len(b))
-	c.notify()
+	c.attempt, a.conn, c.lastUsed = a, c, p.loop.clock.now()
+	c.requestWritten.Store(n == len(b))
+	c.notifyReader()
 	if n == len(b) {
-		a.whole = true
+		a.sent = true
 		return true
 	}
-	c.finish(p.l, b[n:], writeLimit{total: p.lastByteWithin(a)}, func(err error) event {
-		c.wrote.Store(err == nil)
-		return sent{c, a, err}
+	c.writeRest(p.loop, b[n:], writeTimeouts{total: p.requestWriteLimit(a)}, func(err error) event {
+		c.requestWritten.Store(err == nil)
+		return requestWriteDone{c, a, err}
 	})
 	return true
 }
 
-// lastByteWithin is how long the rest of a request may take. Its server begins it with the last byte, so by then the time
-// that it tells must still be true, and a repeat must still be known as one.
-func (p *pool) lastByteWithin(a *attempt) time.Duration {
-	now := p.l.clock.now()
-	within := min(a.until-now, requestWrite)
-	if a.before > 0 {
-		within = min(within, a.before-now)
+// requestWriteLimit returns how long writing the rest of a request may take. The server starts to process it when the
+// last byte arrives. At that time the time left that the request states must still be accurate, and a retry must still
+// be recognized as one.
+func (p *pool) requestWriteLimit(a *attempt) time.Duration {
+	now := p.loop.clock.now()
+	limit := min(a.deadline-now, requestWriteTimeout)
+	if a.sendBefore > 0 {
+		limit = min(limit, a.sendBefore-now)
 	}
-	return max(within, time.Millisecond) // 0 would be no limit
+	return max(limit, time.Millisecond) // 0 would mean no limit
 }
 
-// sent tells how the writing of a large request ended.
-type sent struct {
-	c   *upConn
-	a   *attempt
-	err error
+// requestWriteDone reports that the rest of a large request was written, or why not.
+type requestWriteDone struct {
+	conn    *upstreamConn
+	attempt *attempt
+	err     error
 }
 
-func (s sent) apply(l *loop) {
-	s.c.busy = false
+func (s requestWriteDone) apply(l *loop) {
+	s.conn.writerActive = false
 	if s.err == nil {
-		s.a.whole = true
+		s.attempt.sent = true
 	}
-	if s.err == nil && !s.c.closed() {
+	if s.err == nil && !s.conn.closed() {
 		return
 	}
-	l.pool.close(s.c, serverBroken)
-	l.pool.broken(s.a)
+	l.pool.close(s.conn, serverCloseBroken)
+	l.pool.attemptConnBroken(s.attempt)
 }
 
-// broken ends an attempt whose connection broke. Before its last byte was written it never ran.
-func (p *pool) broken(a *attempt) {
-	o := decide.NoConnection
-	if a.whole {
-		o = decide.Reset
+// attemptConnBroken ends an attempt whose connection broke. The request can have run only if its last byte was written.
+func (p *pool) attemptConnBroken(a *attempt) {
+	outcome := decide.NoConnection
+	if a.sent {
+		outcome = decide.Reset
 	}
-	p.l.ended(a, o)
+	p.loop.attemptEnded(a, outcome)
 }
 
-// park keeps a connection for the next attempt.
-func (p *pool) park(c *upConn) {
-	if c.closed() || c.busy {
-		p.close(c, serverOutOfStep)
+// putIdle keeps a connection for a later attempt.
+func (p *pool) putIdle(c *upstreamConn) {
+	if c.closed() || c.writerActive {
+		p.close(c, serverCloseOutOfSync)
 		return
 	}
-	c.used = p.l.clock.now()
+	c.lastUsed = p.loop.clock.now()
 	c.server.idle = append(c.server.idle, c)
-	if !p.sweeping && p.idleFor > 0 {
-		p.sweeping = true
-		p.l.schedule(c.used+p.idleFor, p.sweep)
+	if !p.sweepScheduled && p.idleTimeout > 0 {
+		p.sweepScheduled = true
+		p.loop.schedule(c.lastUsed+p.idleTimeout, p.sweep)
 	}
 }
 
-// sweep retires connections well before the servers may close them: a request written to one that is being
-// closed would end as a reset, which for a request that must not run twice is the end.
+// sweep closes connections that have been idle for idleTimeout, well before the servers may close them. A request
+// written to a connection that is being closed would end as a reset, and a request that must not run twice could not
+// be retried after that.
 func (p *pool) sweep() {
-	now := p.l.clock.now()
+	now := p.loop.clock.now()
 	next := time.Duration(0)
 	for _, s := range p.servers {
-		for len(s.idle) > 0 && s.idle[0].used+p.idleFor <= now {
-			p.close(s.idle[0], serverIdle)
+		for len(s.idle) > 0 && s.idle[0].lastUsed+p.idleTimeout <= now {
+			p.close(s.idle[0], serverCloseIdle)
 		}
-		if len(s.idle) > 0 && (next == 0 || s.idle[0].used < next) {
-			next = s.idle[0].used
+		if len(s.idle) > 0 && (next == 0 || s.idle[0].lastUsed < next) {
+			next = s.idle[0].lastUsed
 		}
 	}
-	if p.sweeping = next > 0; p.sweeping {
-		p.l.schedule(next+p.idleFor, p.sweep)
+	if p.sweepScheduled = next > 0; p.sweepScheduled {
+		p.loop.schedule(next+p.idleTimeout, p.sweep)
 	}
 }
 
-func (p *pool) close(c *upConn, reason serverCloseReason) {
-	if !c.transition(p.l, stateClosed) {
+func (p *pool) close(c *upstreamConn, reason serverCloseReason) {
+	if !c.transition(p.loop, stateClosed) {
 		return
 	}
-	p.l.metrics.ServerCloses.Inc(string(reason))
-	delete(p.all, c)
+	p.loop.metrics.ServerCloses.Inc(string(reason))
+	delete(p.open, c)
 	if i := slices.Index(c.server.idle, c); i >= 0 {
 		c.server.idle = slices.Delete(c.server.idle, i, i+1)
 	}
-	p.dropped(c.server)
+	p.connRemoved(c.server)
 }
 
-// dropped counts a connection that is no more, or was never made.
-func (p *pool) dropped(s *upstream) {
-	s.conns--
-	p.conns--
-	p.forget(s)
+// connRemoved updates the counts after a connection was closed or could not be established.
+func (p *pool) connRemoved(s *upstream) {
+	s.connCount--
+	p.connCount--
+	p.removeIfUnused(s)
 }
 
-// expire ends an attempt whose time is up. One that has no connection yet never ran. If the loop itself comes
-// late, the server is not to blame: the attempt is called off.
+// expire ends an attempt at its deadline. An attempt that has no connection yet never ran. If the loop itself is late,
+// the server is not to blame, and the attempt counts as cancelled.
 func (p *pool) expire(a *attempt) {
-	o := decide.TimedOut
+	outcome := decide.TimedOut
 	switch {
 	case a.conn == nil:
-		o = decide.NoConnection
-	case p.l.clock.now()-a.until > lateness:
-		o = decide.Cancelled
+		outcome = decide.NoConnection
+	case p.loop.clock.now()-a.deadline > loopDelayTolerance:
+		outcome = decide.Cancelled
 	}
-	p.giveUp(a, o)
+	p.abandon(a, outcome)
 }
 
-// cancel stops waiting for an attempt. Whether it ran is not known once its request may have been written.
-func (p *pool) cancel(a *attempt) { p.giveUp(a, decide.Cancelled) }
+// cancel stops waiting for an attempt. Once its request may have been written, it is unknown whether it ran.
+func (p *pool) cancel(a *attempt) { p.abandon(a, decide.Cancelled) }
 
-func (p *pool) giveUp(a *attempt, o decide.Outcome) {
-	if a.over {
+func (p *pool) abandon(a *attempt, outcome decide.Outcome) {
+	if a.ended {
 		return
 	}
 	if a.conn != nil {
-		p.close(a.conn, serverGivenUp) // an answer is owed on it, so it can't be used again
+		p.close(a.conn, serverCloseAttemptAbandoned) // its answer is still pending, so it can't be reused
 	}
-	p.l.ended(a, o)
+	p.loop.attemptEnded(a, outcome)
 }
 
-// answered hands a server's whole answer to the loop.
-type answered struct {
-	c *upConn
+// answerReceived passes a server's complete answer to the loop.
+type answerReceived struct {
+	conn *upstreamConn
 	answer
-	behind bool // it began behind the request's last byte
+	afterRequest bool // it began after the last byte of the request was written
 }
 
-func (e answered) apply(l *loop) { l.on(&e.c.connection, func() { l.pool.answered(e) }) }
+func (e answerReceived) apply(l *loop) { l.ifOpen(&e.conn.connection, func() { l.pool.onAnswer(e) }) }
 
-func (p *pool) answered(e answered) {
-	c, a, l := e.c, e.c.att, p.l
-	if a != nil && e.behind {
-		a.whole = true // the answer has overtaken the writer's report
+func (p *pool) onAnswer(e answerReceived) {
+	c, a, l := e.conn, e.conn.attempt, p.loop
+	if a != nil && e.afterRequest {
+		a.sent = true // the answer arrived before the writer's requestWriteDone
 	}
-	if a == nil || !a.whole { // nobody asked, or not all of it: what a server says to that is no answer
-		p.broke(broke{c: c})
+	if a == nil || !a.sent { // no request is pending, or not all of it was sent: this can't be its answer
+		p.onReadFailure(readFailed{conn: c})
 		return
 	}
-	c.att = nil
-	if !e.inStep || c.server.entry.State != decide.Serving {
-		l.pool.close(c, serverOutOfStep)
+	c.attempt = nil
+	if !e.inSync || c.server.entry.State != decide.Serving {
+		l.pool.close(c, serverCloseOutOfSync)
 	} else {
-		l.pool.park(c)
+		l.pool.putIdle(c)
 	}
 	if e.outcome == decide.OK {
-		l.served(a, e.value)
+		l.deliverValue(a, e.value)
 		return
 	}
-	l.ended(a, e.outcome)
+	l.attemptEnded(a, e.outcome)
 }
 
-// broke tells that a connection ended, or carried what is no answer.
-type broke struct {
-	c      *upConn
-	spoilt bool
+// readFailed reports that a connection ended, or that something other than an answer arrived on it.
+type readFailed struct {
+	conn      *upstreamConn
+	malformed bool
 }
 
-func (e broke) apply(l *loop) { l.on(&e.c.connection, func() { l.pool.broke(e) }) }
+func (e readFailed) apply(l *loop) { l.ifOpen(&e.conn.connection, func() { l.pool.onReadFailure(e) }) }
 
-func (p *pool) broke(e broke) {
-	c, a, l := e.c, e.c.att, p.l
-	l.pool.close(c, serverBroken)
+func (p *pool) onReadFailure(e readFailed) {
+	c, a, l := e.conn, e.conn.attempt, p.loop
+	l.pool.close(c, serverCloseBroken)
 	switch {
-	case a == nil || c.busy: // the writer still has to tell whether it had written the last byte
-	case e.spoilt && a.whole:
-		l.ended(a, decide.Error) // the server answered, so the request may have run
+	case a == nil || c.writerActive: // the writer has yet to report whether it wrote the last byte
+	case e.malformed && a.sent:
+		l.attemptEnded(a, decide.Error) // the server answered, so the request may have run
 	default:
-		l.pool.broken(a)
+		l.pool.attemptConnBroken(a)
 	}
 }
 
-// read hands on one answer for each request that is written, until the connection ends or carries what is no
-// answer. In between it reads nothing: what comes unasked stays in the kernel, where write finds it. If it were
-// read here, a copy in the reader's hands could meet the next request and pass for its answer.
-func (c *upConn) read(post func(event)) {
-	buf := make([]byte, 0, readFirst)
+// readAnswers reads one answer for each request that is written, until the connection ends or something other than an
+// answer arrives. Between answers it reads nothing: unsolicited data stays in the kernel, where sendRequest detects it.
+// If it were read here, a duplicate answer held by the reader could be taken for the answer to the next request.
+func (c *upstreamConn) readAnswers(post func(event)) {
+	buf := make([]byte, 0, initialReadBuffer)
 	for {
 		select {
 		case <-c.wake:
-		case <-c.gone:
+		case <-c.done:
 			return
 		}
-		a, behind, err := c.readAnswer(&buf)
+		a, afterRequest, err := c.readAnswer(&buf)
 		if err != nil {
-			post(broke{c, errors.Is(err, errSpoilt)})
+			post(readFailed{c, errors.Is(err, errMalformedAnswer)})
 			return
 		}
-		post(answered{c, a, behind})
-		if !a.inStep {
+		post(answerReceived{c, a, afterRequest})
+		if !a.inSync {
 			return // the loop closes it
 		}
-		if buf = buf[:0]; cap(buf) > readFirst {
-			buf = make([]byte, 0, readFirst)
+		if buf = buf[:0]; cap(buf) > initialReadBuffer {
+			buf = make([]byte, 0, initialReadBuffer)
 		}
 	}
 }
 
-// readAnswer reads one answer, and tells whether it began behind the request's last byte.
-func (c *upConn) readAnswer(buf *[]byte) (_ answer, behind bool, _ error) {
+// readAnswer reads one answer. The second result is whether it began after the last byte of the request was written.
+func (c *upstreamConn) readAnswer(buf *[]byte) (_ answer, afterRequest bool, _ error) {
 	b := *buf
-	renewed := false
-	for begun := false; ; {
+	extended := false
+	for started := false; ; {
 		if len(b) == cap(b) {
 			b = slices.Grow(b, cap(b))
 		}
 		n, err := c.conn.Read(b[len(b):cap(b)])
 		if len(b) == 0 {
-			behind = c.wrote.Load()
+			afterRequest = c.requestWritten.Load()
 		}
 		b = b[:len(b)+n]
 		*buf = b
-		a, used, fault := parseAnswer(b)
+		a, used, parseErr := parseAnswer(b)
 		switch {
-		case fault == nil && !renewed && errors.Is(err, os.ErrDeadlineExceeded) && !c.conn.Quiet():
-			renewed = true // this gateway was held up: what is missing may be what waits
-			if err := c.conn.SetReadDeadline(time.Now().Add(answerWithin)); err != nil {
-				return a, behind, err
+		case parseErr == nil && !extended && errors.Is(err, os.ErrDeadlineExceeded) && !c.conn.Quiet():
+			extended = true // this gateway was delayed: the missing bytes may be waiting in the kernel
+			if err := c.conn.SetReadDeadline(time.Now().Add(answerReadTimeout)); err != nil {
+				return a, afterRequest, err
 			}
-		case fault != nil, errors.Is(err, os.ErrDeadlineExceeded):
-			return a, behind, errSpoilt
+		case parseErr != nil, errors.Is(err, os.ErrDeadlineExceeded):
+			return a, afterRequest, errMalformedAnswer
 		case used > 0:
-			a.value, a.inStep = bytes.Clone(a.value), a.inStep && used == len(b) && err == nil
-			if begun {
+			a.value, a.inSync = bytes.Clone(a.value), a.inSync && used == len(b) && err == nil
+			if started {
 				err = c.conn.SetReadDeadline(time.Time{})
 			}
-			return a, behind, err
+			return a, afterRequest, err
 		case err != nil:
-			return a, behind, err
-		case !begun:
-			begun = true
-			if err := c.conn.SetReadDeadline(time.Now().Add(answerWithin)); err != nil {
-				return a, behind, err
+			return a, afterRequest, err
+		case !started:
+			started = true
+			if err := c.conn.SetReadDeadline(time.Now().Add(answerReadTimeout)); err != nil {
+				return a, afterRequest, err
 			}
 		}
 	}
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// A gateway that has just started hears what discovery has told since its list was written before it sends a
-// request on: the request had come before the first call was even answered.
-func TestStartHearsDiscoveryFirst(t *testing.T) {
+// A gateway must apply the changes that discovery has announced since the configured list was written before it sends on
+// its first request. Otherwise a request that arrives before discovery's first answer goes to a server that is draining.
+func TestStartWaitsForDiscovery(t *testing.T) {
 	b := newBackend(t)
-	cfg := testConfig(t, long, entries("up", b))
-	cfg.hearFor = patience
+	cfg := testConfig(t, longTarget, entries("up", b))
+	cfg.warmupTimeout = testTimeout
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	called, answer := make(chan struct{}, 1), make(chan struct{})
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("after") != "1" {
-			<-req.Context().Done() // the watch that goes on
+			<-req.Context().Done() // the watch call that follows
 			return
 		}
 		called <- struct{}{}
@@ -46,18 +46,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if _, err := conn.Write([]byte(asked("id"))); err != nil { // it waits before the gateway has begun
+	if _, err := conn.Write([]byte(rawRequest("id"))); err != nil { // queued before the gateway starts
 		t.Fatal(err)
 	}
 	go serve(ctx, cfg, nil, ln, slog.New(slog.DiscardHandler))
 	<-called
 	select {
 	case x := <-b.got:
-		t.Errorf("the server got %q before discovery was heard", x.args)
-	case <-time.After(20 * time.Millisecond): // enough for one that does not wait; one that waits passes at any speed
+		t.Errorf("the server got %q before discovery answered", x.args)
+	case <-time.After(20 * time.Millisecond): // long enough to catch a gateway that does not wait; one that waits passes at any speed
 	}
 	close(answer)
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	reply := make([]byte, 64)
@@ -70,12 +70,12 @@
 	}
 }
 
-// Discovery that is silent at the start holds nobody up for long: the gateway serves with the list that it has.
-func TestSilentDiscoveryDoesNotHoldTheStart(t *testing.T) {
+// A discovery service that does not answer must not delay the start for long: the gateway serves with the list that it has.
+func TestSilentDiscoveryDoesNotBlockTheStart(t *testing.T) {
 	b, silent := newBackend(t), newBackend(t)
-	cfg := testConfig(t, long, entries("up", b))
+	cfg := testConfig(t, longTarget, entries("up", b))
 	cfg.Discovery = mustAddr(silent.addr)
-	cfg.hearFor = time.Millisecond
+	cfg.warmupTimeout = time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,14 +83,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go serve(ctx, cfg, nil, ln, slog.New(slog.DiscardHandler))
-	c := (&rig{addr: ln.Addr().String()}).dial(t)
-	c.look("id")
-	b.next(t).answer(t, served("v"))
-	c.want("$v")
+	c := (&harness{addr: ln.Addr().String()}).dial(t)
+	c.sendLook("id")
+	b.next(t).answer(t, servedReply("v"))
+	c.expect("$v")
 }
 
-// A watch that is reset is made anew, the next call tells what was missed, and a list may come indented.
-func TestResetWatchMissesNothing(t *testing.T) {
+// After a watch call is reset, the next call must continue from the same version, so that no change is missed. The test's
+// list is indented JSON, which must be accepted too.
+func TestResetWatchMissesNoChange(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -111,12 +112,12 @@
 			}
 			line, _, _ := strings.Cut(string(buf[:k]), "\r\n")
 			queries <- line
-			if n == 0 { // whether discovery is up
+			if n == 0 { // the first call checks whether discovery is up
 				conn.Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"version\":41,\"full\":false,\"servers\":[]}"))
 				conn.Close()
 				continue
 			}
-			if n == 1 { // a reset, not an end
+			if n == 1 { // a reset, not a regular close
 				conn.(*net.TCPConn).SetLinger(0)
 				conn.Close()
 				continue
@@ -133,18 +134,18 @@
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	told := make(chan event, 1)
-	w := newWatcher(mustAddr(ln.Addr().String()), func(e event) {
+	posted := make(chan event, 1)
+	w := newDiscoveryWatcher(mustAddr(ln.Addr().String()), func(e event) {
 		select {
-		case told <- e:
+		case posted <- e:
 		default:
 		}
 	}, slog.New(slog.DiscardHandler))
-	w.known, w.version, w.agent = true, 41, true
+	w.hasList, w.version, w.agent = true, 41, true
 	w.pause = func(context.Context, time.Duration) {}
 	go w.run(ctx)
-	if n := (<-told).(fleetNews); n.list.Version != 42 || n.list.Servers[0].State != "draining" {
-		t.Errorf("told %+v", n)
+	if n := (<-posted).(listReceived); n.list.Version != 42 || n.list.Servers[0].State != "draining" {
+		t.Errorf("got %+v", n)
 	}
 	for n, want := range []string{"after=41&wait_ms=0", "after=41&wait_ms=4000", "after=41&wait_ms=0"} {
 		if got := <-queries; !strings.Contains(got, want) {
@@ -153,9 +154,9 @@
 	}
 }
 
-// A gateway that is told to end before it is ready ends without error.
-func TestStopBeforeTheStart(t *testing.T) {
-	cfg := testConfig(t, long, nil)
+// A gateway that is stopped before it is ready must return without an error.
+func TestStopBeforeStartReturnsNoError(t *testing.T) {
+	cfg := testConfig(t, longTarget, nil)
 	cfg.Listen = mustAddr("127.0.0.1:0")
 	cfg.Discovery = mustAddr(newBackend(t).addr)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -165,24 +166,24 @@
 	}
 }
 
-// Discovery that has begun to answer is heard to the end before the first request is taken, also where that takes longer than
-// a silent one is waited for: a long list on a busy machine.
-func TestStartHearsABegunAnswer(t *testing.T) {
+// If discovery has begun to answer, the gateway must wait for the end of the answer before it accepts its first request. A
+// long list on a busy machine may take longer than the wait for a discovery service that does not answer.
+func TestStartWaitsForAnswerInProgress(t *testing.T) {
 	b := newBackend(t)
-	cfg := testConfig(t, long, entries("up", b))
-	cfg.hearFor = 200 * time.Millisecond
+	cfg := testConfig(t, longTarget, entries("up", b))
+	cfg.warmupTimeout = 200 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Query().Get("after") != "1" {
-			<-req.Context().Done() // the watch that goes on
+			<-req.Context().Done() // the watch call that follows
 			return
 		}
 		fmt.Fprint(w, `{"version":2,"full":false,`)
 		http.NewResponseController(w).Flush()
-		time.Sleep(3 * cfg.hearFor)
+		time.Sleep(3 * cfg.warmupTimeout)
 		rest, err := json.Marshal(entries("draining", b))
 		if err != nil {
 			t.Error(err)
@@ -201,21 +202,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if _, err := conn.Write([]byte(asked("id"))); err != nil {
+	if _, err := conn.Write([]byte(rawRequest("id"))); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- serve(ctx, cfg, nil, ln, slog.New(slog.DiscardHandler)) }()
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	reply := make([]byte, 64)
 	n, err := conn.Read(reply)
 	if got := string(reply[:n]); !strings.HasPrefix(got, "-BUSY") || err != nil {
-		t.Errorf("got %q, %v; the only server drains", got, err)
+		t.Errorf("got %q, %v, want a refusal: the only server is draining", got, err)
 	}
 	if len(b.got) > 0 {
-		t.Error("a server that drains got a request")
+		t.Error("the draining server got a request")
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -223,16 +224,17 @@
 	}
 }
 
-// A request that waits in the accept queue while a starting gateway hears discovery has no more time than its client has left.
-// The front may not have noticed yet that the process before was killed, and goes on sending.
-func TestRequestBeforeTheStartKeepsItsDeadline(t *testing.T) {
+// A request that is queued while a starting gateway waits for discovery must be sent on with no more time than its client
+// has left. This happens because the load balancer in front may not have noticed yet that the previous process was killed,
+// and goes on sending.
+func TestRequestQueuedBeforeStartKeepsItsDeadline(t *testing.T) {
 	const (
-		hold  = 600 * time.Millisecond // discovery's answer takes so long once it has begun
-		given = 2 * time.Second
+		answerDelay   = 600 * time.Millisecond // how long discovery's answer takes once it has begun
+		clientTimeout = 2 * time.Second
 	)
 	b := newBackend(t)
-	cfg := testConfig(t, given+time.Second, entries("up", b))
-	cfg.hearFor = patience
+	cfg := testConfig(t, clientTimeout+time.Second, entries("up", b))
+	cfg.warmupTimeout = testTimeout
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -242,12 +244,12 @@
 		select {
 		case called <- struct{}{}:
 		default:
-			<-req.Context().Done() // the watch that goes on
+			<-req.Context().Done() // the watch call that follows
 			return
 		}
 		w.WriteHeader(http.StatusOK)
 		http.NewResponseController(w).Flush()
-		time.Sleep(hold)
+		time.Sleep(answerDelay)
 		json.NewEncoder(w).Encode(serverList{Version: 2, Full: true, Servers: entries("up", b)})
 	}))
 	t.Cleanup(func() {
@@ -262,23 +264,23 @@
 	for len(called) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c := (&rig{addr: ln.Addr().String()}).dial(t)
+	c := (&harness{addr: ln.Addr().String()}).dial(t)
 	sent := time.Now()
-	c.send("Q.ASK", customer, "id", fmt.Sprintf("c=look,t=p,d=%d,units=1,spread=2,first=0", given.Milliseconds()))
+	c.send("Q.ASK", customer, "id", fmt.Sprintf("c=look,t=p,d=%d,units=1,spread=2,first=0", clientTimeout.Milliseconds()))
 	x := b.next(t)
-	left := given - time.Since(sent)
+	left := clientTimeout - time.Since(sent)
 	_, after, _ := strings.Cut(x.args[listArg], "d=")
-	told, _, _ := strings.Cut(after, ",")
-	ms, err := strconv.Atoi(told)
+	stated, _, _ := strings.Cut(after, ",")
+	ms, err := strconv.Atoi(stated)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const slack = 150 * time.Millisecond // "at most what is left to the client, with 0.15 s of slack"
 	if got := time.Duration(ms) * time.Millisecond; got > left+slack {
-		t.Errorf("the server is told %v, and the client has %v left", got, left)
+		t.Errorf("the request to the server states %v, but the client has %v left", got, left)
 	}
-	x.answer(t, served("v"))
-	c.want("$v")
+	x.answer(t, servedReply("v"))
+	c.expect("$v")
 	cancel()
 	if err := <-ended; err != nil {
 		t.Error(err)
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -13,283 +13,286 @@
 	"time"
 )
 
-// wire is a connection in memory that behaves like TCP, for tests on a virtual clock: bytes wait at the reader up to a
-// bound, a close over unread bytes resets, a reset leaves or destroys what is under way, time limits fail reads and
-// writes even where they need not wait.
-type wire struct {
-	mu    sync.Mutex
-	moved sync.Cond
-	most  int // bytes that wait at one end
-	a, b  wireEnd
+// memPipe is an in-memory connection that behaves like TCP, for tests on a virtual clock. Up to capacity bytes wait
+// at the reader. A close with unread bytes resets the connection. A reset either keeps or destroys data in transit.
+// An expired deadline fails reads and writes even if they would not block.
+type memPipe struct {
+	mu       sync.Mutex
+	changed  sync.Cond
+	capacity int // limit of unread bytes at one end
+	a, b     memConn
 }
 
-// wireEnd is one end of a wire.
-type wireEnd struct {
-	w               *wire
-	peer            *wireEnd
-	waiting         []byte // come, and not yet read here
-	taken           int    // bytes that were read here
-	marks           []mark
-	finSent, finGot bool
-	closed, reset   bool
-	readBy, writeBy time.Time
-	onClose         func()
-	fuse            int       // after so many writes here the other end breaks the connection; 0: it does not
-	blown           time.Time // when it did
+// memConn is one end of a memPipe.
+type memConn struct {
+	pipe                        *memPipe
+	peer                        *memConn
+	unread                      []byte // arrived here, not read yet
+	readCount                   int    // number of bytes read here
+	writeTimes                  []writeTime
+	finSent, finReceived        bool
+	closed, reset               bool
+	readDeadline, writeDeadline time.Time
+	onClose                     func()
+	writesUntilReset            int       // number of writes here until the peer resets the connection; 0: never
+	brokenAt                    time.Time // when the peer did so
 }
 
-// flight is how long what was written may be on its way; what has come stays with a reader that is reset later.
-const flight = 100 * time.Millisecond
+// maxTransitTime is how long written bytes may be in transit. Bytes that arrived earlier stay readable after a reset.
+const maxTransitTime = 100 * time.Millisecond
 
-// mark tells when the byte of that number was written to an end.
-type mark struct {
-	from int
-	at   time.Time
+// writeTime records when the byte at offset, and those after it up to the next writeTime, were written to an end.
+type writeTime struct {
+	offset int
+	at     time.Time
 }
 
-func newWire(most int) (near, far *wireEnd) {
-	w := &wire{most: most}
-	w.moved.L = &w.mu
-	w.a.w, w.b.w = w, w
-	w.a.peer, w.b.peer = &w.b, &w.a
-	return &w.a, &w.b
+// newMemPipe returns the two ends of a memPipe.
+func newMemPipe(capacity int) (near, far *memConn) {
+	pipe := &memPipe{capacity: capacity}
+	pipe.changed.L = &pipe.mu
+	pipe.a.pipe, pipe.b.pipe = pipe, pipe
+	pipe.a.peer, pipe.b.peer = &pipe.b, &pipe.a
+	return &pipe.a, &pipe.b
 }
 
 func expired(by time.Time) bool { return !by.IsZero() && !time.Now().Before(by) }
 
-// put writes what there is room for. The lock is held.
-func (e *wireEnd) put(b []byte) (int, error) {
-	if e.fuse > 0 && !e.closed && !e.reset {
-		if e.fuse--; e.fuse == 0 {
-			e.reset, e.peer.closed, e.blown = true, true, time.Now()
-			e.w.moved.Broadcast()
+// writeLocked writes as much as there is room for. The lock must be held.
+func (e *memConn) writeLocked(b []byte) (int, error) {
+	if e.writesUntilReset > 0 && !e.closed && !e.reset {
+		if e.writesUntilReset--; e.writesUntilReset == 0 {
+			e.reset, e.peer.closed, e.brokenAt = true, true, time.Now()
+			e.pipe.changed.Broadcast()
 		}
 	}
 	switch p := e.peer; {
 	case e.closed:
 		return 0, net.ErrClosed
-	case expired(e.writeBy):
+	case expired(e.writeDeadline):
 		return 0, os.ErrDeadlineExceeded
 	case e.reset:
 		return 0, syscall.ECONNRESET
 	case e.finSent:
 		return 0, syscall.EPIPE
 	case p.closed:
-		e.reset = true // the answer to what is sent now
-		e.w.moved.Broadcast()
+		e.reset = true // the peer's kernel answers this write with a reset
+		e.pipe.changed.Broadcast()
 		return len(b), nil
 	default:
-		n := max(0, min(len(b), e.w.most-len(p.waiting)))
+		n := max(0, min(len(b), e.pipe.capacity-len(p.unread)))
 		if n > 0 {
-			p.marks = append(p.marks, mark{p.taken + len(p.waiting), time.Now()})
-			p.waiting = append(p.waiting, b[:n]...)
-			e.w.moved.Broadcast()
+			p.writeTimes = append(p.writeTimes, writeTime{p.readCount + len(p.unread), time.Now()})
+			p.unread = append(p.unread, b[:n]...)
+			e.pipe.changed.Broadcast()
 		}
 		return n, nil
 	}
 }
 
-func (e *wireEnd) TryWrite(b []byte) (int, error) {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return e.put(b)
+func (e *memConn) TryWrite(b []byte) (int, error) {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	return e.writeLocked(b)
 }
 
-func (e *wireEnd) Write(b []byte) (n int, err error) {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
+func (e *memConn) Write(b []byte) (n int, err error) {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
 	for {
-		m, err := e.put(b[n:])
+		m, err := e.writeLocked(b[n:])
 		if n += m; err != nil || n == len(b) {
 			return n, err
 		}
-		e.w.moved.Wait()
+		e.pipe.changed.Wait()
 	}
 }
 
-func (e *wireEnd) Read(b []byte) (int, error) {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
+func (e *memConn) Read(b []byte) (int, error) {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
 	for {
 		switch {
 		case e.closed:
 			return 0, net.ErrClosed
-		case expired(e.readBy):
+		case expired(e.readDeadline):
 			return 0, os.ErrDeadlineExceeded
-		case len(e.waiting) > 0:
-			return e.take(b), nil
+		case len(e.unread) > 0:
+			return e.readLocked(b), nil
 		case e.reset:
 			return 0, syscall.ECONNRESET
-		case e.finGot:
+		case e.finReceived:
 			return 0, io.EOF
 		}
-		e.w.moved.Wait()
+		e.pipe.changed.Wait()
 	}
 }
 
-func (e *wireEnd) take(b []byte) int {
-	n := copy(b, e.waiting)
-	e.waiting, e.taken = e.waiting[n:], e.taken+n
-	e.w.moved.Broadcast()
+// readLocked reads unread bytes into b. The lock must be held.
+func (e *memConn) readLocked(b []byte) int {
+	n := copy(b, e.unread)
+	e.unread, e.readCount = e.unread[n:], e.readCount+n
+	e.pipe.changed.Broadcast()
 	return n
 }
 
-// all reads what has come without waiting, and tells whether more may come.
-func (e *wireEnd) all() (b []byte, open bool) { return e.some(math.MaxInt) }
+// readAvailable reads what has arrived without blocking, and reports whether more may arrive.
+func (e *memConn) readAvailable() (b []byte, open bool) { return e.readUpTo(math.MaxInt) }
 
-// some does the same with so many bytes at most.
-func (e *wireEnd) some(most int) (b []byte, open bool) {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	b = make([]byte, min(most, len(e.waiting)))
-	e.take(b)
-	return b, len(e.waiting) > 0 || !e.closed && !e.reset && !e.finGot
+// readUpTo is readAvailable limited to maxBytes bytes.
+func (e *memConn) readUpTo(maxBytes int) (b []byte, open bool) {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	b = make([]byte, min(maxBytes, len(e.unread)))
+	e.readLocked(b)
+	return b, len(e.unread) > 0 || !e.closed && !e.reset && !e.finReceived
 }
 
 // full reports whether nothing more can be written to this end.
-func (e *wireEnd) full() bool {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return len(e.waiting) >= e.w.most
+func (e *memConn) full() bool {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	return len(e.unread) >= e.pipe.capacity
 }
 
-// peek returns what has come and was not read.
-func (e *wireEnd) peek() []byte {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return slices.Clone(e.waiting)
+// peek returns the unread bytes without reading them.
+func (e *memConn) peek() []byte {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	return slices.Clone(e.unread)
 }
 
-// writtenAt is when the byte of that number was written to this end.
-func (e *wireEnd) writtenAt(n int) (at time.Time) {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	for _, m := range e.marks {
-		if m.from <= n {
+// writtenAt returns when the byte at offset n was written to this end.
+func (e *memConn) writtenAt(n int) (at time.Time) {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	for _, m := range e.writeTimes {
+		if m.offset <= n {
 			at = m.at
 		}
 	}
 	return at
 }
 
-func (e *wireEnd) read() int {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return e.taken
+func (e *memConn) bytesRead() int {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	return e.readCount
 }
 
-// breakAfter has the other end break the connection in the nth write from now on.
-func (e *wireEnd) breakAfter(n int) {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	e.fuse = n
+// resetAfterWrites makes the peer reset the connection in the nth write from now on.
+func (e *memConn) resetAfterWrites(n int) {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	e.writesUntilReset = n
 }
 
-// broken tells when the other end broke the connection in a write.
-func (e *wireEnd) broken() time.Time {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return e.blown
+// breakTime returns when the peer reset the connection in a write.
+func (e *memConn) breakTime() time.Time {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	return e.brokenAt
 }
 
-func (e *wireEnd) shut() bool {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
+func (e *memConn) isClosed() bool {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
 	return e.closed
 }
 
-func (e *wireEnd) Quiet() bool {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return !e.closed && !e.reset && !e.finGot && len(e.waiting) == 0
+func (e *memConn) Quiet() bool {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	return !e.closed && !e.reset && !e.finReceived && len(e.unread) == 0
 }
 
-// Unsent is 0: what is written is at the other end at once.
-func (e *wireEnd) Unsent() int { return 0 }
+// Unsent returns 0, since written bytes arrive at once.
+func (e *memConn) Unsent() int { return 0 }
 
-func (e *wireEnd) HungUp() bool {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
-	return e.closed || e.reset || e.finGot
+func (e *memConn) HungUp() bool {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
+	return e.closed || e.reset || e.finReceived
 }
 
-func (e *wireEnd) CloseWrite() error {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
+func (e *memConn) CloseWrite() error {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
 	switch {
 	case e.closed:
 		return net.ErrClosed
 	case e.reset:
 		return syscall.ENOTCONN
 	}
-	e.finSent, e.peer.finGot = true, true
-	e.w.moved.Broadcast()
+	e.finSent, e.peer.finReceived = true, true
+	e.pipe.changed.Broadcast()
 	return nil
 }
 
-func (e *wireEnd) Close() error {
-	e.w.mu.Lock()
+func (e *memConn) Close() error {
+	e.pipe.mu.Lock()
 	if e.closed {
-		e.w.mu.Unlock()
+		e.pipe.mu.Unlock()
 		return net.ErrClosed
 	}
 	e.closed = true
-	e.peer.finGot = true
-	if p := e.peer; len(e.waiting) > 0 { // unread: the other end is reset, and what is on its way to it is destroyed
+	e.peer.finReceived = true
+	// unread bytes: the peer sees a reset, and data in transit to it is destroyed
+	if p := e.peer; len(e.unread) > 0 {
 		p.reset = true
-		for _, m := range p.marks {
-			if m.from >= p.taken && time.Since(m.at) < flight {
-				p.waiting = p.waiting[:min(len(p.waiting), m.from-p.taken)]
+		for _, m := range p.writeTimes {
+			if m.offset >= p.readCount && time.Since(m.at) < maxTransitTime {
+				p.unread = p.unread[:min(len(p.unread), m.offset-p.readCount)]
 				break
 			}
 		}
 	}
-	e.w.moved.Broadcast()
-	e.w.mu.Unlock()
+	e.pipe.changed.Broadcast()
+	e.pipe.mu.Unlock()
 	if e.onClose != nil {
 		e.onClose()
 	}
 	return nil
 }
 
-// abort resets the connection. What has come at the other end may be destroyed.
-func (e *wireEnd) abort(destroy bool) {
-	e.w.mu.Lock()
+// abort resets the connection. If destroy is set, bytes that have arrived at the peer are lost.
+func (e *memConn) abort(destroy bool) {
+	e.pipe.mu.Lock()
 	e.peer.reset = true
 	if destroy {
-		e.peer.waiting = nil
+		e.peer.unread = nil
 	}
-	e.waiting = nil
-	e.w.mu.Unlock()
+	e.unread = nil
+	e.pipe.mu.Unlock()
 	e.Close()
 }
 
-func (e *wireEnd) limit(by *time.Time, t time.Time) error {
-	e.w.mu.Lock()
-	defer e.w.mu.Unlock()
+func (e *memConn) updateDeadline(deadline *time.Time, t time.Time) error {
+	e.pipe.mu.Lock()
+	defer e.pipe.mu.Unlock()
 	if e.closed {
 		return net.ErrClosed
 	}
-	*by = t
-	e.w.moved.Broadcast()
+	*deadline = t
+	e.pipe.changed.Broadcast()
 	if d := time.Until(t); !t.IsZero() && d > 0 {
 		time.AfterFunc(d, func() {
-			e.w.mu.Lock()
-			defer e.w.mu.Unlock()
-			e.w.moved.Broadcast()
+			e.pipe.mu.Lock()
+			defer e.pipe.mu.Unlock()
+			e.pipe.changed.Broadcast()
 		})
 	}
 	return nil
 }
 
-func (e *wireEnd) SetReadDeadline(t time.Time) error  { return e.limit(&e.readBy, t) }
-func (e *wireEnd) SetWriteDeadline(t time.Time) error { return e.limit(&e.writeBy, t) }
-func (e *wireEnd) SetDeadline(t time.Time) error {
+func (e *memConn) SetReadDeadline(t time.Time) error  { return e.updateDeadline(&e.readDeadline, t) }
+func (e *memConn) SetWriteDeadline(t time.Time) error { return e.updateDeadline(&e.writeDeadline, t) }
+func (e *memConn) SetDeadline(t time.Time) error {
 	if err := e.SetReadDeadline(t); err != nil {
 		return err
 	}
 	return e.SetWriteDeadline(t)
 }
 
-func (e *wireEnd) LocalAddr() net.Addr  { return &net.TCPAddr{} }
-func (e *wireEnd) RemoteAddr() net.Addr { return &net.TCPAddr{} }
+func (e *memConn) LocalAddr() net.Addr  { return &net.TCPAddr{} }
+func (e *memConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
--- a/internal/gateway/write.go
+++ b/internal/gateway/write.go
@@ -8,26 +8,27 @@
 	"winghatch/internal/platform"
 )
 
-// writeStep is how often a write that waits for room looks at its limits. A connection's buffer takes bytes as soon as there
-// is any room, but wakes a writer only when a third of it is free, which a slow reader may need many seconds for.
-const writeStep = 100 * time.Millisecond
+// writeCheckInterval is how often a blocked write checks its timeouts. The kernel accepts bytes as soon as the
+// connection's buffer has any room, but wakes a writer only when a third of it is free. With a slow reader that may
+// take many seconds.
+const writeCheckInterval = 100 * time.Millisecond
 
-// writeLimit says when a write is given up. A limit of 0 does not bind.
-type writeLimit struct {
-	stalled time.Duration // the other end has taken nothing for so long
-	total   time.Duration // since the write began
+// writeTimeouts says when a write is given up. A timeout of 0 has no effect.
+type writeTimeouts struct {
+	stall time.Duration // time in which the peer has accepted no bytes
+	total time.Duration // time since the write began
 }
 
-// writeAll writes all of b. It returns os.ErrDeadlineExceeded, perhaps wrapped, once a limit is passed.
-func writeAll(conn link, b []byte, limit writeLimit) error {
-	begun := time.Now()
-	progress := begun
+// writeAll writes all of b. When a timeout expires it returns os.ErrDeadlineExceeded, possibly wrapped.
+func writeAll(conn streamConn, b []byte, timeouts writeTimeouts) error {
+	started := time.Now()
+	progress := started
 	for {
-		by := time.Now().Add(writeStep)
-		if end := begun.Add(limit.total); limit.total > 0 && end.Before(by) {
-			by = end
+		deadline := time.Now().Add(writeCheckInterval)
+		if totalEnd := started.Add(timeouts.total); timeouts.total > 0 && totalEnd.Before(deadline) {
+			deadline = totalEnd
 		}
-		if err := conn.SetWriteDeadline(by); err != nil {
+		if err := conn.SetWriteDeadline(deadline); err != nil {
 			return err
 		}
 		n, err := conn.Write(b)
@@ -41,11 +42,11 @@
 			return nil
 		case err == nil:
 		case platform.IsTransient(err):
-			time.Sleep(transientPause)
+			time.Sleep(transientRetryDelay)
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return err
 		}
-		if limit.total > 0 && now.Sub(begun) >= limit.total || limit.stalled > 0 && now.Sub(progress) >= limit.stalled {
+		if timeouts.total > 0 && now.Sub(started) >= timeouts.total || timeouts.stall > 0 && now.Sub(progress) >= timeouts.stall {
 			return os.ErrDeadlineExceeded
 		}
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the gateway's log: structured lines on a writer that may be slow, full or gone. Whoever logs never
-// waits for it and never fails; lines that find no room are dropped and counted.
+// Package logging writes the gateway's log to an output that may be slow, blocked or closed. Logging never blocks the caller
+// and never returns an error. Lines that do not fit into the queue are dropped and counted.
 package logging
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Bounds on what waits to be written.
+// Limits of the queue of lines to be written.
 const (
-	linesMost = 1024
-	lineMost  = 4 << 10 // bytes; a longer line is cut
+	maxQueuedLines = 1024
+	maxLineBytes   = 4 << 10 // bytes; a longer line is truncated
 )
 
-// Writer passes lines on to another writer from a goroutine of its own.
+// Writer queues lines and writes them to another writer from its own goroutine.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -24,19 +24,19 @@
 	dropped atomic.Uint64
 }
 
-// NewWriter returns a writer in front of out. Its goroutine lives as long as the process, as a write that hangs can't be
-// called off.
+// NewWriter returns a Writer that writes to out. Its goroutine runs until the process ends, because a blocked write can't be
+// cancelled.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, linesMost), flush: make(chan chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), flush: make(chan chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line. It never waits and never fails.
+// Write queues a line. If the queue is full, it drops the line. It never blocks and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line[:min(len(line), lineMost)]...)
-	if len(line) > lineMost {
-		kept[lineMost-1] = '\n'
+	kept := append([]byte(nil), line[:min(len(line), maxLineBytes)]...)
+	if len(line) > maxLineBytes {
+		kept[maxLineBytes-1] = '\n'
 	}
 	select {
 	case w.lines <- kept:
@@ -46,53 +46,55 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines have been lost so far.
+// Dropped returns how many lines have been lost so far, in the queue or by failed writes.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Flush waits until the lines so far are written, but no longer than within.
-func (w *Writer) Flush(within time.Duration) {
-	limit := time.After(within)
+// Flush waits until the queued lines are written, or until timeout has passed.
+func (w *Writer) Flush(timeout time.Duration) {
+	expired := time.After(timeout)
 	done := make(chan struct{})
 	select {
 	case w.flush <- done:
-	case <-limit:
+	case <-expired:
 		return
 	}
 	select {
 	case <-done:
-	case <-limit:
+	case <-expired:
 	}
 }
 
+// run writes lines until the process ends.
 func (w *Writer) run() {
-	told := uint64(0)
+	reported := uint64(0)
 	for {
 		select {
 		case line := <-w.lines:
-			told = w.pass(line, told)
+			reported = w.writeLine(line, reported)
 		case done := <-w.flush:
 			for len(w.lines) > 0 {
-				told = w.pass(<-w.lines, told)
+				reported = w.writeLine(<-w.lines, reported)
 			}
 			close(done)
 		}
 	}
 }
 
-// pass writes a line, and before it how many were lost, if more were than told. It returns what has been told.
-func (w *Writer) pass(line []byte, told uint64) uint64 {
-	if dropped := w.dropped.Load(); dropped > told {
-		if _, err := fmt.Fprintf(w.out, "level=WARN msg=\"log lines were dropped\" lines=%d\n", dropped-told); err == nil {
-			told = dropped
+// writeLine writes a line. If more lines have been dropped than reported, it first writes a warning with the difference. It
+// returns the number of dropped lines that are reported now.
+func (w *Writer) writeLine(line []byte, reported uint64) uint64 {
+	if dropped := w.dropped.Load(); dropped > reported {
+		if _, err := fmt.Fprintf(w.out, "level=WARN msg=\"log lines were dropped\" lines=%d\n", dropped-reported); err == nil {
+			reported = dropped
 		}
 	}
 	if _, err := w.out.Write(line); err != nil {
 		w.dropped.Add(1)
 	}
-	return told
+	return reported
 }
 
-// ParseLevel reads a level: debug, info, warn or error. The empty string is info.
+// ParseLevel parses a log level: debug, info, warn or error. The empty string means info.
 func ParseLevel(text string) (slog.Level, error) {
 	var level slog.Level
 	if text == "" {
@@ -104,16 +106,16 @@
 	return level, nil
 }
 
-// Limiter lets through one of many lines of a kind in each interval. It is not safe for concurrent use.
+// Limiter limits repeated log lines of one kind to one per Interval. It is not safe for concurrent use.
 type Limiter struct {
-	Every      time.Duration
+	Interval   time.Duration
 	last       time.Time
 	suppressed int
 }
 
-// Allow reports whether a line may be logged now, and how many were held back since the last one.
+// Allow reports whether a line may be logged now, and how many lines were suppressed since the last one that was allowed.
 func (l *Limiter) Allow(now time.Time) (suppressed int, ok bool) {
-	if !l.last.IsZero() && now.Sub(l.last) < l.Every {
+	if !l.last.IsZero() && now.Sub(l.last) < l.Interval {
 		l.suppressed++
 		return 0, false
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// gate is a writer that stands still until it is opened.
-type gate struct {
+// blockedWriter is a writer whose Write blocks until open is closed.
+type blockedWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (g *gate) Write(b []byte) (int, error) {
+func (g *blockedWriter) Write(b []byte) (int, error) {
 	<-g.open
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(b)
 }
 
-func TestWriterNeverWaits(t *testing.T) {
-	g := &gate{open: make(chan struct{})}
+// While the output is blocked, Write must not block. Lines beyond the queue are dropped, and their number is logged later.
+func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
+	g := &blockedWriter{open: make(chan struct{})}
 	w := NewWriter(g)
-	const lines = 3 * linesMost
+	const lines = 3 * maxQueuedLines
 	for i := range lines {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
-	w.Flush(time.Millisecond) // gives up
-	if n := w.Dropped(); n < lines-linesMost-2 || n > lines-linesMost {
+	w.Flush(time.Millisecond) // returns after its timeout
+	if n := w.Dropped(); n < lines-maxQueuedLines-2 || n > lines-maxQueuedLines {
 		t.Errorf("%d lines were dropped", n)
 	}
 	close(g.open)
@@ -49,30 +50,32 @@
 	}
 }
 
-type failing struct{}
+// failingWriter is a writer whose every write fails.
+type failingWriter struct{}
 
-func (failing) Write([]byte) (int, error) { return 0, errors.New("gone") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("gone") }
 
-func TestWriterOutlivesItsOutput(t *testing.T) {
-	w := NewWriter(failing{})
+// A closed output must not stop the writer's goroutine, and lines that could not be written are counted.
+func TestFailedWritesAreCountedAsDropped(t *testing.T) {
+	w := NewWriter(failingWriter{})
 	for range 10 {
 		io.WriteString(w, "line\n")
 	}
 	w.Flush(time.Minute)
 	if w.Dropped() != 10 {
-		t.Errorf("%d of 10 lines count as dropped", w.Dropped())
+		t.Errorf("%d of 10 lines are counted as dropped", w.Dropped())
 	}
 }
 
-func TestLongLinesAreCut(t *testing.T) {
+func TestLongLinesAreTruncated(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	long := strings.Repeat("x", 2*lineMost) + "\n"
+	long := strings.Repeat("x", 2*maxLineBytes) + "\n"
 	if n, err := io.WriteString(w, long); n != len(long) || err != nil {
-		t.Errorf("took %d bytes, %v", n, err)
+		t.Errorf("Write returned %d, %v", n, err)
 	}
 	w.Flush(time.Minute)
-	if out.Len() != lineMost || !strings.HasSuffix(out.String(), "x\n") {
+	if out.Len() != maxLineBytes || !strings.HasSuffix(out.String(), "x\n") {
 		t.Errorf("%d bytes were written", out.Len())
 	}
 }
@@ -84,17 +87,17 @@
 		}
 	}
 	if _, err := ParseLevel("loud"); err == nil {
-		t.Error("loud is a level")
+		t.Error("the unknown level \"loud\" is accepted")
 	}
 }
 
 func TestLimiter(t *testing.T) {
-	l := Limiter{Every: time.Second}
+	l := Limiter{Interval: time.Second}
 	now := time.Now()
 	for i, want := range []bool{true, false, false, true} {
 		suppressed, ok := l.Allow(now.Add(time.Duration(i) * 400 * time.Millisecond))
 		if ok != want || i == 3 && suppressed != 2 {
-			t.Errorf("line %d: %v, %d held back", i, ok, suppressed)
+			t.Errorf("line %d: %v, %d suppressed", i, ok, suppressed)
 		}
 	}
 }
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -5,26 +5,26 @@
 	"syscall"
 )
 
-// transient are the errors by which a system call says that the machine lacks something now and may have it in a moment.
-// The manual pages of socket, bind, listen, accept, connect, send, recv, open and read list them. None of them says
-// anything of the other end of a connection.
-var transient = []error{syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+// transientErrors lists the errors by which a system call reports that a local resource is exhausted now but may be available
+// again soon. They come from the manual pages of socket, bind, listen, accept, connect, send, recv, open and read. None of
+// them says anything about the other end of a connection.
+var transientErrors = []error{syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL}
 
-// IsTransient reports whether an error is a passing want of this machine. Deadlines that have passed are not.
-func IsTransient(err error) bool { return isAny(err, transient) }
+// IsTransient reports whether an error is a transient resource exhaustion of this machine. An exceeded deadline is not.
+func IsTransient(err error) bool { return isAny(err, transientErrors) }
 
-// IsAddressHeld reports whether an address can't be had now because another process still has it.
-func IsAddressHeld(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
+// IsAddressInUse reports whether an address can't be bound because another process still uses it.
+func IsAddressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
-// IsUnreachable reports whether there was no way to the other end. That may be for want of a route on this machine, for a
-// moment, or because the other end is cut off.
+// IsUnreachable reports whether the other end could not be reached over the network. Either this machine has no route at the
+// moment, or the other end is disconnected.
 func IsUnreachable(err error) bool {
 	return isAny(err, []error{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN})
 }
 
-// IsReadFault reports whether reading a file failed for a reason that may pass.
-func IsReadFault(err error) bool { return IsTransient(err) || errors.Is(err, syscall.EIO) }
+// IsTransientReadError reports whether reading a file failed for a reason that may be gone at the next attempt.
+func IsTransientReadError(err error) bool { return IsTransient(err) || errors.Is(err, syscall.EIO) }
 
 func isAny(err error, list []error) bool {
 	for _, e := range list {
--- a/internal/platform/faults_off.go
+++ b/internal/platform/faults_off.go
@@ -4,12 +4,12 @@
 
 import "time"
 
-// Fault returns the error that a call is to fail with, or nil. It is nil in this build.
-func Fault(Call) error { return nil }
+// InjectedError returns the error with which a call must fail, or nil. In this build it is always nil.
+func InjectedError(Call) error { return nil }
 
-// Limit returns how many of n bytes a call may move. It is n in this build.
-func Limit(_ Call, n int) int { return n }
+// LimitBytes returns how many of n bytes a call may transfer. In this build it is always n.
+func LimitBytes(_ Call, n int) int { return n }
 
-func cut(_ Call, data []byte) []byte { return data }
+func truncate(_ Call, data []byte) []byte { return data }
 
 func wallOffset() time.Duration { return 0 }
--- a/internal/platform/faults_on.go
+++ b/internal/platform/faults_on.go
@@ -15,10 +15,10 @@
 // ScriptVariable names the environment variable that holds the Script of a process, as JSON.
 const ScriptVariable = "GW_FAULTS"
 
-// started is when the process began, which the times of a script count from.
+// started is the start of the process. Rule.FromMS and Rule.ToMS count from it.
 var started = time.Now()
 
-// script is read at the first use and does not change.
+// script returns the Script of the process. It is loaded at the first use and does not change.
 var script = sync.OnceValue(loadScript)
 
 func loadScript() Script {
@@ -34,21 +34,21 @@
 	return s
 }
 
-// active returns the first rule on a call that applies now and is drawn, or nil.
+// active returns the first rule for call that is in force now and is selected by its chance, or nil.
 func active(call Call) *Rule {
 	rules := script().Rules
-	since := time.Since(started).Milliseconds()
+	elapsed := time.Since(started).Milliseconds()
 	for i := range rules {
 		rule := &rules[i]
-		if rule.Call == call && rule.FromMS <= since && since < rule.ToMS && rand.Float64() < rule.Chance {
+		if rule.Call == call && rule.FromMS <= elapsed && elapsed < rule.ToMS && rand.Float64() < rule.Chance {
 			return rule
 		}
 	}
 	return nil
 }
 
-// Fault returns the error that a call is to fail with, or nil.
-func Fault(call Call) error {
+// InjectedError returns the error with which call must fail, or nil.
+func InjectedError(call Call) error {
 	rule := active(call)
 	if rule == nil || rule.Errno == 0 {
 		return nil
@@ -56,16 +56,17 @@
 	return syscall.Errno(rule.Errno)
 }
 
-// Limit returns how many of n bytes a call may move.
-func Limit(call Call, n int) int {
+// LimitBytes returns how many of n bytes call may transfer.
+func LimitBytes(call Call, n int) int {
 	rule := active(call)
-	if rule == nil || rule.MostBytes == 0 {
+	if rule == nil || rule.MaxBytes == 0 {
 		return n
 	}
-	return min(n, rule.MostBytes)
+	return min(n, rule.MaxBytes)
 }
 
-// cut shortens what a call returned.
-func cut(call Call, data []byte) []byte { return data[:Limit(call, len(data))] }
+// truncate returns the part of data that call may transfer.
+func truncate(call Call, data []byte) []byte { return data[:LimitBytes(call, len(data))] }
 
+// wallOffset returns how far the wall clock of the process is ahead.
 func wallOffset() time.Duration { return time.Duration(script().WallOffsetMS) * time.Millisecond }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the seam between the gateway and the operating system: the wall clock, files, and the system calls
-// on sockets that may fail for a moment. In the usual build each function is a thin wrapper. A build with the tag
-// faultinjection lets a test decide when these calls fail, and with which error, without touching the machine.
+// Package platform wraps the operating system services that the gateway uses: the wall clock, files, and the system calls
+// on sockets that can fail transiently. In the default build each function is a thin wrapper. In a build with the tag
+// faultinjection a test decides when these calls fail, and with which error, without changing the machine.
 package platform
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Call names an operation that may be made to fail.
+// Call names an operation for which errors can be injected.
 type Call string
 
-// The operations.
+// The operations, by the names that a Script uses.
 const (
 	CallListen       Call = "listen"        // socket, bind and listen for clients
 	CallListenPacket Call = "listen_packet" // socket and bind for peers
@@ -26,18 +26,18 @@
 	CallReadFile     Call = "read_file"
 )
 
-// ReadFile reads a whole file. Its errors are those of os.ReadFile.
+// ReadFile reads a whole file. It returns the same errors as os.ReadFile.
 func ReadFile(path string) ([]byte, error) {
-	if err := Fault(CallReadFile); err != nil {
+	if err := InjectedError(CallReadFile); err != nil {
 		return nil, &os.PathError{Op: "open", Path: path, Err: err}
 	}
 	data, err := os.ReadFile(path)
-	return cut(CallReadFile, data), err
+	return truncate(CallReadFile, data), err
 }
 
-// Listen opens a TCP listener.
+// Listen opens a TCP listener on addr.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
-	if err := Fault(CallListen); err != nil {
+	if err := InjectedError(CallListen); err != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("socket", err)}
 	}
 	var config net.ListenConfig
@@ -53,9 +53,9 @@
 	return listener{tcp}, nil
 }
 
-// ListenUDP opens a socket for datagrams.
+// ListenUDP opens a UDP socket on addr.
 func ListenUDP(addr netip.AddrPort) (*net.UDPConn, error) {
-	if err := Fault(CallListenPacket); err != nil {
+	if err := InjectedError(CallListenPacket); err != nil {
 		return nil, &net.OpError{Op: "listen", Net: "udp", Err: os.NewSyscallError("socket", err)}
 	}
 	return net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
@@ -63,22 +63,23 @@
 
 // DialTCP opens a TCP connection without keep-alive probes.
 func DialTCP(ctx context.Context, addr string) (net.Conn, error) {
-	if err := Fault(CallConnect); err != nil {
+	if err := InjectedError(CallConnect); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", err)}
 	}
 	dialer := net.Dialer{KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// listener is a net.Listener whose Accept may be made to fail.
+// listener is a TCP listener whose Accept can return injected errors.
 type listener struct{ *net.TCPListener }
 
 func (l listener) Accept() (net.Conn, error) {
-	if err := Fault(CallAccept); err != nil {
+	if err := InjectedError(CallAccept); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 	}
 	return l.TCPListener.Accept()
 }
 
-// Now reads the wall clock, which an operator may step. Only use it to compare with other machines' clocks.
+// Now returns the wall clock time. An operator may step this clock, so use it only to compare with the clocks of other
+// machines.
 func Now() time.Time { return time.Now().Add(wallOffset()) }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-func TestErrors(t *testing.T) {
-	type kinds struct{ transient, held, unreachable, readFault bool }
+func TestErrorClassification(t *testing.T) {
+	type kinds struct{ transient, inUse, unreachable, transientRead bool }
 	for err, want := range map[error]kinds{
-		syscall.EMFILE:       {transient: true, readFault: true},
-		syscall.ENFILE:       {transient: true, readFault: true},
-		syscall.ENOBUFS:      {transient: true, readFault: true},
-		syscall.ENOMEM:       {transient: true, readFault: true},
-		syscall.EINTR:        {transient: true, readFault: true},
-		syscall.EAGAIN:       {transient: true, readFault: true},
-		syscall.EIO:          {readFault: true},
-		syscall.EADDRINUSE:   {held: true},
+		syscall.EMFILE:       {transient: true, transientRead: true},
+		syscall.ENFILE:       {transient: true, transientRead: true},
+		syscall.ENOBUFS:      {transient: true, transientRead: true},
+		syscall.ENOMEM:       {transient: true, transientRead: true},
+		syscall.EINTR:        {transient: true, transientRead: true},
+		syscall.EAGAIN:       {transient: true, transientRead: true},
+		syscall.EIO:          {transientRead: true},
+		syscall.EADDRINUSE:   {inUse: true},
 		syscall.ENETUNREACH:  {unreachable: true},
 		syscall.EHOSTUNREACH: {unreachable: true},
 		syscall.ECONNREFUSED: {},
@@ -33,13 +33,13 @@
 		io.EOF:               {},
 	} {
 		wrapped := fmt.Errorf("opening: %w", &net.OpError{Op: "listen", Err: os.NewSyscallError("socket", err)})
-		got := kinds{IsTransient(wrapped), IsAddressHeld(wrapped), IsUnreachable(wrapped), IsReadFault(wrapped)}
+		got := kinds{IsTransient(wrapped), IsAddressInUse(wrapped), IsUnreachable(wrapped), IsTransientReadError(wrapped)}
 		if got != want {
 			t.Errorf("%v: got %+v, want %+v", err, got, want)
 		}
 	}
 	if IsTransient(os.ErrDeadlineExceeded) || IsTransient(context.DeadlineExceeded) {
-		t.Error("a deadline that has passed is no want of the machine")
+		t.Error("an exceeded deadline is classified as transient")
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that a gateway is given when it starts: by the simulator's first
-// message or in a real gateway's configuration, in the same words.
+// Package settings parses the settings object that a gateway gets when it starts. The simulator sends it in its first
+// message, and a real gateway has it in its configuration file. The format is the same.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"winghatch/decide"
 )
 
-// wire are the wire's words for decide.Config. Keys that are not named here are ignored.
+// wire is the JSON form of decide.Config. Its field names are the keys; unknown keys are ignored.
 type wire struct {
 	Classes []struct {
 		Name, Effect, Group               string
@@ -49,30 +49,30 @@
 	MembershipMode, Zone string
 }
 
-// Settings is what a host of the decision module needs to know.
+// Settings is the configuration of a program that runs the decision engine.
 type Settings struct {
 	Decide  decide.Config
-	OpenCap int // requests open at once; 0: no limit
+	OpenCap int // maximum number of open requests; 0: no limit
 }
 
-// An idle connection is retired after this part of the time after which servers close it at the latest: a request
-// that meets the close would end as a reset.
-const idlePart = 3
+// idleDivisor divides the time for which servers keep an idle connection. The gateway closes an idle connection after the
+// quotient, because a request that is sent while the server closes the connection would end as a reset.
+const idleDivisor = 3
 
-// FieldOf names the field at which decoding stopped.
-func FieldOf(err error) error {
+// NameField returns err with the name of the field that could not be decoded, if err holds that name.
+func NameField(err error) error {
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
-		return fmt.Errorf("field %q: can't take a %s", t.Field, t.Value)
+		return fmt.Errorf("field %q: cannot hold a JSON %s", t.Field, t.Value)
 	}
 	return err
 }
 
-// Parse reads a settings object. Whether a gateway can work with it is for decide.New to say.
+// Parse parses a settings object and checks the limits of this package. decide.New checks the rest.
 func Parse(raw json.RawMessage) (Settings, error) {
 	var s wire
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return Settings{}, FieldOf(err)
+		return Settings{}, NameField(err)
 	}
 	if err := s.check(); err != nil {
 		return Settings{}, err
@@ -81,25 +81,26 @@
 	return Settings{Decide: c, OpenCap: s.Limits.OpenCap}, err
 }
 
-// Bounds on what a gateway is told. Beyond them it would start and then run out of memory or serve nobody.
+// Limits of the settings. With values beyond them a gateway would start, but then run out of memory or serve no requests.
 const (
-	instancesMost = 1 << 16
-	tiersMost     = 64                   // where gateways talk: a tier has one digit in their messages
-	timeMost      = 366 * 24 * time.Hour // added to the present it must not wrap
+	maxInstances      = 1 << 16
+	maxTiersWithPeers = 64                   // only with peers: messages between gateways identify a tier by one digit
+	maxDuration       = 366 * 24 * time.Hour // a duration added to the present must not overflow
 )
 
-// check holds the settings to the bounds.
+// check returns an error if a setting exceeds its limit, or if two classes or two tiers have the same name.
 func (s *wire) check() error {
-	if s.Instances > instancesMost {
-		return fmt.Errorf("Instances is %d, want %d at most", s.Instances, instancesMost)
+	if s.Instances > maxInstances {
+		//lint:ignore ST1005 the text begins with the name of a settings field
+		return fmt.Errorf("Instances is %d, want %d at most", s.Instances, maxInstances)
 	}
-	if s.Limits.Peers && len(s.TiersOfService) > tiersMost {
-		return fmt.Errorf("TiersOfService has %d entries, want %d at most", len(s.TiersOfService), tiersMost)
+	if s.Limits.Peers && len(s.TiersOfService) > maxTiersWithPeers {
+		return fmt.Errorf("TiersOfService has %d entries, want %d at most", len(s.TiersOfService), maxTiersWithPeers)
 	}
 	if s.Extra.UnitsTop != 0 && s.Extra.UnitsTop < 1 {
 		return fmt.Errorf("Extra.UnitsTop is %v, want 0 or 1 and more", s.Extra.UnitsTop)
 	}
-	times := []span{{"Extra.CountWaitNs", s.Extra.CountWaitNs}, {"Extra.MeterNs", s.Extra.MeterNs},
+	times := []durationField{{"Extra.CountWaitNs", s.Extra.CountWaitNs}, {"Extra.MeterNs", s.Extra.MeterNs},
 		{"Limits.MaxRetryAfterNs", s.Limits.MaxRetryAfterNs}, {"Limits.ConnectTimeoutNs", s.Limits.ConnectTimeoutNs},
 		{"Limits.ConnIdleNs", s.Limits.ConnIdleNs}, {"Safety.AnswerSlackNs", s.Safety.AnswerSlackNs},
 		{"Safety.DrainGraceNs", s.Safety.DrainGraceNs}, {"Safety.ColdNs", s.Safety.ColdNs},
@@ -107,15 +108,15 @@
 	names := map[string]bool{}
 	for i, k := range s.Classes {
 		at := fmt.Sprintf("Classes[%d].", i)
-		times = append(times, span{at + "AimNs", k.AimNs}, span{at + "GiveUpNs", k.GiveUpNs}, span{at + "WindowNs", k.WindowNs})
+		times = append(times, durationField{at + "AimNs", k.AimNs}, durationField{at + "GiveUpNs", k.GiveUpNs}, durationField{at + "WindowNs", k.WindowNs})
 		if names[k.Name] {
 			return fmt.Errorf("%sName: %q comes twice", at, k.Name)
 		}
 		names[k.Name] = true
 	}
 	for _, t := range times {
-		if t.ns < 0 || t.ns > int64(timeMost) {
-			return fmt.Errorf("%s is %d, want 0 to %d", t.field, t.ns, int64(timeMost))
+		if t.ns < 0 || t.ns > int64(maxDuration) {
+			return fmt.Errorf("%s is %d, want 0 to %d", t.field, t.ns, int64(maxDuration))
 		}
 	}
 	clear(names)
@@ -128,12 +129,13 @@
 	return nil
 }
 
-// span is a time that stands in a field.
-type span struct {
+// durationField is a duration with the name of its settings field.
+type durationField struct {
 	field string
 	ns    int64
 }
 
+// config converts the settings to a decide.Config.
 func (s *wire) config() (decide.Config, error) {
 	c := decide.Config{Rank: s.Rank, Gateways: s.Instances, Zone: s.Zone, SettledLater: s.Extra.CostAfter,
 		MaxUnits: s.Extra.UnitsTop, MeterPeriod: time.Duration(s.Extra.MeterNs), PeerIntake: s.Extra.PeerIntake,
@@ -143,7 +145,7 @@
 		Cancel: s.Limits.MayCancel, Peers: s.Limits.Peers, Probes: s.Limits.Probes,
 		RetryAfter: s.Limits.RetryAfter, MaxRetryAfter: time.Duration(s.Limits.MaxRetryAfterNs),
 		ConnectTimeout: time.Duration(s.Limits.ConnectTimeoutNs),
-		ConnKept:       time.Duration(s.Limits.ConnIdleNs) / idlePart}
+		ConnKept:       time.Duration(s.Limits.ConnIdleNs) / idleDivisor}
 	c.Safety = decide.Safety{AnswerSlack: time.Duration(s.Safety.AnswerSlackNs),
 		DrainGrace: time.Duration(s.Safety.DrainGraceNs), ColdFrom: s.Safety.ColdFrom,
 		ColdFor: time.Duration(s.Safety.ColdNs), FallMultiple: s.Safety.FallMultiple,
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,6 @@
-// Package telemetry counts what a gateway does and why: answers, attempts, closes, failed system calls, and broken
-// invariants. Counters are read over HTTP in the Prometheus text form, and summed up in the log at the end.
+// Package telemetry holds the metrics of a gateway: answers, attempts, closed connections, failed system calls and invariant
+// violations, each by its reason. They are served over HTTP in the Prometheus text format and summarized in the log at
+// shutdown.
 package telemetry
 
 import (
@@ -13,31 +14,31 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Path is where the counters are read.
+// Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
-// Metrics are the counters of one gateway. Its methods may be called from any goroutine.
+// Metrics holds the counters and gauges of one gateway. It is safe for concurrent use.
 type Metrics struct {
 	set *metrics.Set
 
-	Answers           *Family // requests by result: served, refused, failed, or abandoned as their clients left
+	Answers           *Family // requests by result: served, refused, failed, or abandoned because the client disconnected
 	Refusals          *Family // refused requests by reason
 	Failures          *Family // failed requests by reason
 	Attempts          *Family // attempts by outcome
-	FurtherAttempts   *Family // retries and hedges, by the class's effect
-	ClientCloses      *Family // connections of clients that were closed, by reason
-	ServerCloses      *Family // connections to card servers that were closed, by reason
-	DiscoveryCalls    *Family // by how they ended
-	SystemCallErrors  *Family // by call
-	Violations        *Family // broken invariants, by rule; any is a fault of the gateway
+	FurtherAttempts   *Family // retries and hedges, by the effect of the request's class
+	ClientCloses      *Family // closed client connections, by reason
+	ServerCloses      *Family // closed connections to card servers, by reason
+	DiscoveryCalls    *Family // calls to discovery, by outcome
+	SystemCallErrors  *Family // failed system calls, by call
+	Violations        *Family // invariant violations, by rule; each is a bug in the gateway
 	OpenRequests      *Gauge
 	ClientConnections *Gauge
 	ServerConnections *Gauge
-	UnsentBytes       *Gauge // of answers that clients have not taken
-	InboxEvents       *Gauge // that waited when the loop last looked
+	UnsentBytes       *Gauge // bytes of answers not yet written to client connections
+	InboxEvents       *Gauge // events that were queued when the event loop last took some
 }
 
-// New returns counters that are all 0.
+// New returns metrics that are all 0.
 func New() *Metrics {
 	set := metrics.NewSet()
 	family := func(name, label string) *Family {
@@ -67,7 +68,8 @@
 	}
 }
 
-// Family is a set of counters that differ in the value of one label. Values must come from a bounded set.
+// Family is a metric with one label and a counter for each of its values. The values must come from a bounded set, as
+// counters are never removed.
 type Family struct {
 	set         *metrics.Set
 	name, label string
@@ -75,7 +77,7 @@
 	counters    map[string]*metrics.Counter
 }
 
-// Inc counts one more with a label's value.
+// Inc adds one to the counter with the given label value.
 func (f *Family) Inc(value string) {
 	f.mu.Lock()
 	counter := f.counters[value]
@@ -87,7 +89,7 @@
 	counter.Inc()
 }
 
-// Total is the sum over all values of the label.
+// Total returns the sum over all label values.
 func (f *Family) Total() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,8 +100,8 @@
 	return total
 }
 
-// Of is the count with one value of the label.
-func (f *Family) Of(value string) uint64 {
+// Count returns the counter with the given label value, or 0 if it was never incremented.
+func (f *Family) Count(value string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if counter := f.counters[value]; counter != nil {
@@ -108,16 +110,15 @@
 	return 0
 }
 
-// Gauge is a number that goes up and down.
+// Gauge is a metric that can go up and down.
 type Gauge struct{ value atomic.Int64 }
 
-// Set sets the number.
 func (g *Gauge) Set(n int) { g.value.Store(int64(n)) }
 
-// Write writes all counters in the Prometheus text form.
+// Write writes all metrics in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) { m.set.WritePrometheus(w) }
 
-// Summary is all counters that are not 0, on one line.
+// Summary returns all metrics that are not 0, on one line.
 func (m *Metrics) Summary() string {
 	var text strings.Builder
 	m.Write(&text)
@@ -130,7 +131,7 @@
 	return strings.Join(parts, " ")
 }
 
-// Handler serves the counters at Path.
+// Handler returns an HTTP handler that serves the metrics at Path.
 func (m *Metrics) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// Counts from concurrent goroutines are complete, and appear in the HTTP output and in the summary.
 func TestMetrics(t *testing.T) {
 	m := New()
 	var tasks sync.WaitGroup
@@ -22,8 +23,8 @@
 	tasks.Wait()
 	m.Answers.Inc("failed")
 	m.OpenRequests.Set(7)
-	if m.Answers.Of("served") != 800 || m.Answers.Total() != 801 || m.Answers.Of("other") != 0 {
-		t.Errorf("%d served of %d", m.Answers.Of("served"), m.Answers.Total())
+	if m.Answers.Count("served") != 800 || m.Answers.Total() != 801 || m.Answers.Count("other") != 0 {
+		t.Errorf("got %d served, %d in total; want 800 and 801", m.Answers.Count("served"), m.Answers.Total())
 	}
 	reply := httptest.NewRecorder()
 	m.Handler().ServeHTTP(reply, httptest.NewRequest(http.MethodGet, Path, nil))
@@ -33,6 +34,6 @@
 		}
 	}
 	if got := m.Summary(); !strings.Contains(got, `requests_total{result="failed"}=1`) || strings.Contains(got, "inbox") {
-		t.Errorf("summed up as %s", got)
+		t.Errorf("summary: %s", got)
 	}
 }
--- a/internal/watch/fleet_test.go
+++ b/internal/watch/fleet_test.go
@@ -10,330 +10,335 @@
 	"time"
 )
 
-// caller is a gateway's way of calling discovery.
+// caller is a policy by which a gateway calls discovery. Pacer is one.
 type caller interface {
 	Next(now time.Duration) Call
 	Done(now time.Duration, r Result) Step
 }
 
-// former is how gateways called before: short calls of 250 ms, in vain doubling to 2 s, 50 ms after a failure, and the
-// pauses after refusals as given. It is here to be compared by the same model.
-type former struct {
-	first, most, pause, patience time.Duration
-	rng                          *rand.Rand
-	version                      uint64
-	failing                      bool
+// previousPolicy is the policy that gateways used before Pacer, for comparison in the same model. A Check times out after
+// 250 ms, which doubles up to 2 s with each further failure. The pause after a failure is 50 ms. The pauses after refusals
+// double from firstPause to maxPause.
+type previousPolicy struct {
+	firstPause, maxPause, pause, callTimeout time.Duration
+	rng                                      *rand.Rand
+	version                                  uint64
+	failing                                  bool
 }
 
-func newFormer(first, most time.Duration, rng *rand.Rand) *former {
-	return &former{first: first, most: most, pause: first, patience: 250 * time.Millisecond, rng: rng, version: 1}
+func newPreviousPolicy(first, most time.Duration, rng *rand.Rand) *previousPolicy {
+	return &previousPolicy{firstPause: first, maxPause: most, pause: first, callTimeout: 250 * time.Millisecond, rng: rng, version: 1}
 }
 
-func (f *former) Next(time.Duration) Call {
+func (f *previousPolicy) Next(time.Duration) Call {
 	if f.failing {
-		return Call{Kind: Check, After: f.version, Within: f.patience}
+		return Call{Kind: Check, After: f.version, Timeout: f.callTimeout}
 	}
-	return Call{Kind: Watch, After: f.version, Wait: 4 * time.Second, Within: 4500 * time.Millisecond}
+	return Call{Kind: Watch, After: f.version, Wait: 4 * time.Second, Timeout: 4500 * time.Millisecond}
 }
 
-func (f *former) Done(_ time.Duration, r Result) Step {
-	switch r.End {
+func (f *previousPolicy) Done(_ time.Duration, r Result) Step {
+	switch r.Outcome {
 	case Refused:
 		d := f.pause/2 + time.Duration(f.rng.Int64N(int64(f.pause/2)))
-		f.failing, f.pause = false, min(2*f.pause, f.most)
+		f.failing, f.pause = false, min(2*f.pause, f.maxPause)
 		return Step{Pause: d}
 	case Answered:
-		f.failing, f.patience, f.pause, f.version = false, 250*time.Millisecond, f.first, r.Version
-		return Step{Take: true, Heard: true}
+		f.failing, f.callTimeout, f.pause, f.version = false, 250*time.Millisecond, f.firstPause, r.Version
+		return Step{HasChanges: true, UpToDate: true}
 	}
 	if f.failing {
-		f.patience = min(2*f.patience, 2*time.Second)
+		f.callTimeout = min(2*f.callTimeout, 2*time.Second)
 	}
 	f.failing = true
 	return Step{Pause: 50 * time.Millisecond}
 }
 
 const (
-	trip     = 2 * time.Millisecond // there or back
-	lineMost = 2 * time.Second      // of work that stands in line; a call beyond is refused
+	networkDelay  = 2 * time.Millisecond // one way
+	maxQueuedWork = 2 * time.Second      // of work in discovery's queue; a call beyond it is refused
 )
 
-// occurrence is something that happens in the model at a time.
-type occurrence struct {
+// event is an action of the model at a point in time. Events at the same time run in the order of seq.
+type event struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type agenda []occurrence
+// eventQueue is a heap of events (container/heap).
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(a[i].at, a[j].at), cmp.Compare(a[i].seq, a[j].seq)) < 0
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(occurrence)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	last := len(*a) - 1
 	x := (*a)[last]
 	*a = (*a)[:last]
 	return x
 }
 
-// fleet is gateways and the one discovery that serves them. Discovery serves calls in turn, each for the same time,
-// also those that nobody waits for any more. A call that finds more than lineMost of work is refused at once, which
-// costs refusal of a call's work. A watch waits from when it is served; its answer then costs nothing.
-type fleet struct {
-	now      time.Duration
-	seq      int
-	agenda   agenda
-	nodes    []*node
-	work     time.Duration // of a call
-	refusal  float64
-	free     time.Duration // when discovery has done all work in line
-	down     bool          // it says nothing
-	busy     bool          // it refuses all calls: others than this fleet fill it
-	away     time.Duration // since when it can't be reached, or is busy
-	downs    int           // outages so far: what stood in line then is lost
+// model simulates a number of gateways and the one discovery that serves them. Discovery serves calls in order of arrival.
+// Each takes the same time, also if its caller has given up. A call that finds the queue full (maxQueuedWork) is refused at
+// once, which costs the fraction refusalCost of a call's work. A watch starts to wait when it has been served; its answer
+// then costs nothing.
+type model struct {
+	now              time.Duration
+	seq              int
+	events           eventQueue
+	gateways         []*gateway
+	callWork         time.Duration // time that discovery needs to serve a call
+	refusalCost      float64
+	idleAt           time.Duration // when discovery has done all queued work
+	down             bool          // discovery does not answer
+	busy             bool          // discovery refuses all calls, as other callers fill its queue
+	unreachableSince time.Duration // when discovery last went down or became busy
+	outages          int           // number of outages so far; each loses the calls in the queue
+	version          uint64
+	availableAt      []time.Duration // by version: when discovery had it, or was available again if that is later
+	parked           []func()
+	openWatches      map[int]func() // by call: answers a waiting watch
+	callsBySecond    map[int]int    // by second
+	refusals         int
+	wastedCalls      int // calls that were served after their caller had given up
+	delays           []time.Duration
+}
+
+type gateway struct {
+	model    *model
+	c        caller
 	version  uint64
-	had      []time.Duration // by version: when discovery had it, or could be reached again if that is later
-	parked   []func()
-	answers  map[int]func() // of parked watches
-	calls    map[int]int    // by second
-	refusals int
-	vain     int // calls worked on that nobody waited for
-	late     []time.Duration
+	openCall int // the call in progress; 0: none
 }
 
-type node struct {
-	f    *fleet
-	c    caller
-	held uint64
-	open int // the call that is waited for; 0: none
-}
-
-func (f *fleet) at(d time.Duration, do func()) {
+func (f *model) schedule(d time.Duration, do func()) {
 	f.seq++
-	heap.Push(&f.agenda, occurrence{d, f.seq, do})
+	heap.Push(&f.events, event{d, f.seq, do})
 }
 
-func (f *fleet) run(until time.Duration) {
-	for len(f.agenda) > 0 && f.agenda[0].at <= until {
-		o := heap.Pop(&f.agenda).(occurrence)
+func (f *model) run(until time.Duration) {
+	for len(f.events) > 0 && f.events[0].at <= until {
+		o := heap.Pop(&f.events).(event)
 		f.now = o.at
 		o.do()
 	}
 	f.now = until
 }
 
-func newFleet(n int, capacity, refusal float64, seed uint64, make func(*rand.Rand) caller) *fleet {
-	f := &fleet{work: time.Duration(float64(time.Second) / capacity), refusal: refusal, version: 1,
-		had: []time.Duration{0, 0}, answers: map[int]func(){}, calls: map[int]int{}}
+func newModel(n int, capacity, refusal float64, seed uint64, make func(*rand.Rand) caller) *model {
+	f := &model{callWork: time.Duration(float64(time.Second) / capacity), refusalCost: refusal, version: 1,
+		availableAt: []time.Duration{0, 0}, openWatches: map[int]func(){}, callsBySecond: map[int]int{}}
 	for i := range n {
-		f.nodes = append(f.nodes, &node{f: f, held: 1, c: make(rand.New(rand.NewPCG(seed, uint64(i))))})
+		f.gateways = append(f.gateways, &gateway{model: f, version: 1, c: make(rand.New(rand.NewPCG(seed, uint64(i))))})
 	}
 	return f
 }
 
-// start begins the gateways at times spread over a duration.
-func (f *fleet) start(over time.Duration) {
-	for i, g := range f.nodes {
-		f.at(f.now+over*time.Duration(i)/time.Duration(len(f.nodes)), g.call)
+// start starts the gateways at times spread evenly over a duration.
+func (f *model) start(over time.Duration) {
+	for i, g := range f.gateways {
+		f.schedule(f.now+over*time.Duration(i)/time.Duration(len(f.gateways)), g.call)
 	}
 }
 
-func (g *node) call() {
-	f := g.f
+func (g *gateway) call() {
+	f := g.model
 	c := g.c.Next(f.now)
 	f.seq++
 	id := f.seq
-	g.open = id
-	f.calls[int(f.now/time.Second)]++
+	g.openCall = id
+	f.callsBySecond[int(f.now/time.Second)]++
 	end := func(r Result) {
-		if g.open != id {
+		if g.openCall != id {
 			return
 		}
-		g.open = 0
-		delete(f.answers, id)
-		g.end(r)
+		g.openCall = 0
+		delete(f.openWatches, id)
+		g.finish(r)
 	}
-	f.at(f.now+c.Within, func() { end(Result{End: TimedOut}) })
-	f.at(f.now+trip, func() { f.arrive(g, id, c, end) })
+	f.schedule(f.now+c.Timeout, func() { end(Result{Outcome: TimedOut}) })
+	f.schedule(f.now+networkDelay, func() { f.arrive(g, id, c, end) })
 }
 
-func (g *node) end(r Result) {
-	f := g.f
+func (g *gateway) finish(r Result) {
+	f := g.model
 	s := g.c.Done(f.now, r)
-	if r.End == Answered && s.Heard {
-		for v := g.held + 1; v <= r.Version; v++ {
-			f.late = append(f.late, f.now-f.had[v])
+	if r.Outcome == Answered && s.UpToDate {
+		for v := g.version + 1; v <= r.Version; v++ {
+			f.delays = append(f.delays, f.now-f.availableAt[v])
 		}
-		g.held = max(g.held, r.Version)
+		g.version = max(g.version, r.Version)
 	}
-	f.at(f.now+s.Pause, g.call)
+	f.schedule(f.now+s.Pause, g.call)
 }
 
-func (f *fleet) arrive(g *node, id int, c Call, end func(Result)) {
+func (f *model) arrive(g *gateway, id int, c Call, end func(Result)) {
 	if f.down {
 		return
 	}
-	f.free = max(f.free, f.now)
-	if f.busy || f.free-f.now > lineMost-f.work {
-		f.free += time.Duration(f.refusal * float64(f.work))
+	f.idleAt = max(f.idleAt, f.now)
+	if f.busy || f.idleAt-f.now > maxQueuedWork-f.callWork {
+		f.idleAt += time.Duration(f.refusalCost * float64(f.callWork))
 		f.refusals++
-		f.at(f.now+trip, func() { end(Result{End: Refused}) })
+		f.schedule(f.now+networkDelay, func() { end(Result{Outcome: Refused}) })
 		return
 	}
-	f.free += f.work
-	downs := f.downs
-	f.at(f.free, func() {
-		if downs != f.downs {
+	f.idleAt += f.callWork
+	downs := f.outages
+	f.schedule(f.idleAt, func() {
+		if downs != f.outages {
 			return
 		}
-		if g.open != id {
-			f.vain++
+		if g.openCall != id {
+			f.wastedCalls++
 			return
 		}
 		answer := func() {
-			delete(f.answers, id)
-			r := Result{End: Answered, Version: f.version, Entries: int(f.version - c.After)}
-			f.at(f.now+trip, func() { end(r) })
+			delete(f.openWatches, id)
+			r := Result{Outcome: Answered, Version: f.version, Entries: int(f.version - c.After)}
+			f.schedule(f.now+networkDelay, func() { end(r) })
 		}
 		if c.Kind != Watch || f.version > c.After {
 			answer()
 			return
 		}
-		f.answers[id] = answer
-		f.at(f.now+c.Wait, func() {
-			if _, ok := f.answers[id]; ok && downs == f.downs {
+		f.openWatches[id] = answer
+		f.schedule(f.now+c.Wait, func() {
+			if _, ok := f.openWatches[id]; ok && downs == f.outages {
 				answer()
 			}
 		})
 	})
 }
 
-// change is news at discovery, told to all watches that wait.
-func (f *fleet) change() {
+// change adds a version at discovery and answers all waiting watches.
+func (f *model) change() {
 	f.version++
-	f.had = append(f.had, f.now)
+	f.availableAt = append(f.availableAt, f.now)
 	f.answerWatches()
 }
 
-// answerWatches answers all watches that wait, in turn.
-func (f *fleet) answerWatches() {
-	ids := make([]int, 0, len(f.answers))
-	for id := range f.answers {
+// answerWatches answers all waiting watches in the order of their calls.
+func (f *model) answerWatches() {
+	ids := make([]int, 0, len(f.openWatches))
+	for id := range f.openWatches {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		f.answers[id]()
+		f.openWatches[id]()
 	}
 }
 
-// silence lets all watches that wait fall silent.
-func (f *fleet) silence() { clear(f.answers) }
+// dropWatches makes all waiting watches silent: they are never answered.
+func (f *model) dropWatches() { clear(f.openWatches) }
 
-// fall takes discovery down: it says nothing any more, and what it had in hand is lost.
-func (f *fleet) fall() {
-	f.silence()
-	f.down, f.away, f.free = true, f.now, f.now
-	f.downs++
+// goDown takes discovery down. It answers no more calls and loses those in its queue.
+func (f *model) goDown() {
+	f.dropWatches()
+	f.down, f.unreachableSince, f.idleAt = true, f.now, f.now
+	f.outages++
 }
 
-// crowd lets discovery refuse all calls; watches that wait end with nothing.
-func (f *fleet) crowd() {
-	f.busy, f.away = true, f.now
+// overload makes discovery refuse all calls. Waiting watches are answered without changes.
+func (f *model) overload() {
+	f.busy, f.unreachableSince = true, f.now
 	f.answerWatches()
 }
 
-// back ends an outage or a crowd.
-func (f *fleet) back() {
+// restore ends an outage or an overload.
+func (f *model) restore() {
 	f.down, f.busy = false, false
-	for v := range f.had {
-		if f.had[v] >= f.away {
-			f.had[v] = f.now
+	for v := range f.availableAt {
+		if f.availableAt[v] >= f.unreachableSince {
+			f.availableAt[v] = f.now
 		}
 	}
 }
 
-// figures of a span of seconds: the worst delay of what was told, what was never told, and calls a second.
-type figures struct {
-	worst, p90          time.Duration
-	untold              int
-	mean, peak          float64
-	refusals, vain, all int
+// summary holds the results of a run: the delays until gateways received changes, the number of gateways that did not receive
+// all of them, and the calls per second.
+type summary struct {
+	maxDelay, p90Delay    time.Duration
+	neverUpdated          int
+	meanCalls, peakCalls  float64
+	refusals, wasted, all int
 }
 
-func (f *fleet) figures(from, to int) figures {
-	var x figures
+func (f *model) summarize(from, to int) summary {
+	var x summary
 	for s := from; s < to; s++ {
-		x.all += f.calls[s]
-		x.peak = max(x.peak, float64(f.calls[s]))
+		x.all += f.callsBySecond[s]
+		x.peakCalls = max(x.peakCalls, float64(f.callsBySecond[s]))
 	}
-	x.mean = float64(x.all) / float64(to-from)
-	slices.Sort(f.late)
-	if len(f.late) > 0 {
-		x.worst, x.p90 = f.late[len(f.late)-1], f.late[len(f.late)*9/10]
+	x.meanCalls = float64(x.all) / float64(to-from)
+	slices.Sort(f.delays)
+	if len(f.delays) > 0 {
+		x.maxDelay, x.p90Delay = f.delays[len(f.delays)-1], f.delays[len(f.delays)*9/10]
 	}
-	for _, g := range f.nodes {
-		if g.held < f.version {
-			x.untold++
-			x.worst = max(x.worst, f.now-f.had[g.held+1])
+	for _, g := range f.gateways {
+		if g.version < f.version {
+			x.neverUpdated++
+			x.maxDelay = max(x.maxDelay, f.now-f.availableAt[g.version+1])
 		}
 	}
-	x.refusals, x.vain = f.refusals, f.vain
+	x.refusals, x.wasted = f.refusals, f.wastedCalls
 	return x
 }
 
-func (x figures) String() string {
-	return fmt.Sprintf("told after %.2f s at worst (nine in ten %.2f), %d never; calls/s %.0f mean, %.0f peak; %d refused, %d in vain",
-		x.worst.Seconds(), x.p90.Seconds(), x.untold, x.mean, x.peak, x.refusals, x.vain)
+func (x summary) String() string {
+	return fmt.Sprintf("updated after at most %.2f s (p90 %.2f s), %d never; calls/s %.0f mean, %.0f peak; %d refused, %d wasted",
+		x.maxDelay.Seconds(), x.p90Delay.Seconds(), x.neverUpdated, x.meanCalls, x.peakCalls, x.refusals, x.wasted)
 }
 
-// scene is what happens to a fleet that starts at 0 s, or at 10 s all at once. Its figures are those of 10 to 40 s.
-type scene struct {
+// scenario is a sequence of events at discovery. The gateways start from 0 to 4 s, or all at once at 10 s. The results are
+// those of the time from 10 to 40 s.
+type scenario struct {
 	name   string
 	atOnce bool
-	play   func(*fleet)
+	play   func(*model)
 }
 
 const (
-	sceneFrom = 10
-	sceneTo   = 40
+	scenarioStart = 10
+	scenarioEnd   = 40
 )
 
-func sec(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// scenes have changes in them that must be told; all times are in seconds.
-func scenes() []scene {
-	changes := func(f *fleet, at ...float64) {
+// scenarios returns the scenarios. Each holds changes that all gateways must receive. All times are in seconds.
+func scenarios() []scenario {
+	changes := func(f *model, at ...float64) {
 		for _, s := range at {
-			f.at(sec(s), f.change)
+			f.schedule(seconds(s), f.change)
 		}
 	}
-	return []scene{
-		{"steady", false, func(f *fleet) { changes(f, 20) }},
-		{"outage", false, func(f *fleet) { // of 8 s, and a release begins in it
-			f.at(sec(12), f.fall)
-			f.at(sec(20), f.back)
+	return []scenario{
+		{"steady", false, func(f *model) { changes(f, 20) }},
+		{"outage", false, func(f *model) { // of 8 s; changes begin during the outage
+			f.schedule(seconds(12), f.goDown)
+			f.schedule(seconds(20), f.restore)
 			changes(f, 17, 19, 20.5, 23)
 		}},
-		{"crowd", false, func(f *fleet) {
-			f.at(sec(12), f.crowd)
-			f.at(sec(20), f.back)
+		{"overload", false, func(f *model) {
+			f.schedule(seconds(12), f.overload)
+			f.schedule(seconds(20), f.restore)
 			changes(f, 17, 19, 23)
 		}},
-		{"restart", true, func(f *fleet) { changes(f, 10, 11) }},
-		{"silent", false, func(f *fleet) {
-			f.at(sec(15), f.silence)
+		{"restart", true, func(f *model) { changes(f, 10, 11) }},
+		{"silent watches", false, func(f *model) {
+			f.schedule(seconds(15), f.dropWatches)
 			changes(f, 15)
 		}},
-		{"silent in step", false, func(f *fleet) { // the first change brings the watches in step
-			f.at(sec(15.5), f.silence)
+		{"silent synchronized watches", false, func(f *model) { // the first change synchronizes the watches
+			f.schedule(seconds(15.5), f.dropWatches)
 			changes(f, 13, 15.5)
 		}},
-		{"many changes", false, func(f *fleet) {
+		{"many changes", false, func(f *model) {
 			for i := range 27 {
 				changes(f, 12+0.3*float64(i))
 			}
@@ -341,97 +346,99 @@
 	}
 }
 
-// play runs a scene with n gateways that call as make says, at discovery that serves so many calls a second, where a
-// refusal costs a tenth of a call's work.
-func play(s scene, n int, capacity float64, seed uint64, make func(*rand.Rand) caller) figures {
-	f := newFleet(n, capacity, 0.1, seed, make)
+// runScenario runs a scenario with n gateways. Discovery serves capacity calls a second, and a refusal costs a tenth of a call's
+// work.
+func runScenario(s scenario, n int, capacity float64, seed uint64, make func(*rand.Rand) caller) summary {
+	f := newModel(n, capacity, 0.1, seed, make)
 	if s.atOnce {
-		f.at(sec(sceneFrom), func() { f.start(0) })
+		f.schedule(seconds(scenarioStart), func() { f.start(0) })
 	} else {
 		f.start(4 * time.Second)
 	}
 	s.play(f)
-	f.run(sec(sceneTo))
-	return f.figures(sceneFrom, sceneTo)
+	f.run(seconds(scenarioEnd))
+	return f.summarize(scenarioStart, scenarioEnd)
 }
 
-func paced(r *rand.Rand) caller { return New(Config{Held: true, Version: 1}, r) }
+func newPacer(r *rand.Rand) caller { return New(Config{HasList: true, Version: 1}, r) }
 
-// served is a fleet and what discovery serves in a second.
-type served struct {
+// deployment is a number of gateways and the calls a second that discovery can serve.
+type deployment struct {
 	gateways int
 	capacity float64
 }
 
-const seeds = 3 // of each scene
+const seedsPerScenario = 3 // runs of each scenario
 
-// check holds the calls to what the package comment allows.
-func (x figures) check(t *testing.T, n int, name string) {
+// check compares the number of calls with the limits in the package comment.
+func (x summary) check(t *testing.T, n int, name string) {
 	t.Helper()
 	t.Logf("%d gateways, %s: %v", n, name, x)
-	if mean, peak := 0.6*float64(n)+1, 2.1*float64(n)+2; x.mean > mean || x.peak > peak {
-		t.Errorf("%d gateways, %s: %.0f calls a second, %.0f in one, want at most %.0f and %.0f", n, name, x.mean, x.peak, mean, peak)
+	if mean, peak := 0.6*float64(n)+1, 2.1*float64(n)+2; x.meanCalls > mean || x.peakCalls > peak {
+		t.Errorf("%d gateways, %s: %.0f calls a second on average and %.0f at the peak, want at most %.0f and %.0f", n, name, x.meanCalls, x.peakCalls, mean, peak)
 	}
-	if x.vain > 0 {
-		t.Errorf("%d gateways, %s: discovery worked on %d calls that nobody waited for", n, name, x.vain)
+	if x.wasted > 0 {
+		t.Errorf("%d gateways, %s: discovery served %d calls whose callers had given up", n, name, x.wasted)
 	}
 }
 
-// A fleet is told in time in all that may befall it at once, and calls little meanwhile, where discovery serves as
-// much as the package comment says that it has to.
-func TestFleetIsToldInTime(t *testing.T) {
-	const most = watchWait + watchOver + 100*time.Millisecond // a watch may be silent from its first moment
-	for _, c := range []served{{2, 4}, {30, 15}, {300, 150}} {
-		for _, s := range scenes() {
-			for seed := range uint64(seeds) {
-				x := play(s, c.gateways, c.capacity, seed, paced)
+// All gateways must receive changes in time, and keep to the limits on calls, in every scenario, if discovery has the capacity
+// that the package comment requires. An outage, an overload or silent watches that affect all gateways at once could delay
+// changes beyond the limit.
+func TestServerListUpdateIsNotLate(t *testing.T) {
+	const most = watchWait + watchGrace + 100*time.Millisecond // a watch may fall silent as soon as it starts
+	for _, c := range []deployment{{2, 4}, {30, 15}, {300, 150}} {
+		for _, s := range scenarios() {
+			for seed := range uint64(seedsPerScenario) {
+				x := runScenario(s, c.gateways, c.capacity, seed, newPacer)
 				x.check(t, c.gateways, s.name)
-				if x.untold > 0 || x.worst > most {
-					t.Errorf("%d gateways, %s: told after %v at worst, %d never, want all within %v", c.gateways, s.name, x.worst, x.untold, most)
+				if x.neverUpdated > 0 || x.maxDelay > most {
+					t.Errorf("%d gateways, %s: updated after at most %v, %d never, want all within %v", c.gateways, s.name, x.maxDelay, x.neverUpdated, most)
 				}
 			}
 		}
 	}
 }
 
-// Discovery that can't serve the fleet is not stormed: calls keep to the bound of the package comment, what it serves
-// is of use to somebody, and gateways are told in turn. The last is the fleet that once made 36,735 calls in 26 s:
-// its steady calls alone, 20 a second, are more than discovery serves.
-func TestOverbookedDiscoveryIsNotStormed(t *testing.T) {
+// A discovery whose capacity is too small must not be flooded with retries: calls keep to the limits in the package comment, no
+// served call is wasted, and the gateways receive changes one after another. The last deployment once made 36,735 calls
+// in 26 s. Its calls in steady operation alone, 20 a second, exceed the capacity.
+func TestUndersizedDiscoveryIsNotFlooded(t *testing.T) {
 	for _, tc := range []struct {
-		served
-		late   time.Duration // nine in ten are told by then
-		untold int           // that may be left at the end
-	}{{served{30, 9}, sec(9), 0}, {served{300, 90}, sec(9), 0}, {served{80, 16}, sec(15), 4}} {
-		for _, s := range scenes() {
-			for seed := range uint64(seeds) {
-				x := play(s, tc.gateways, tc.capacity, seed, paced)
+		deployment
+		maxP90Delay     time.Duration // nine in ten are updated by then
+		maxNeverUpdated int           // that may be left at the end
+	}{{deployment{30, 9}, seconds(9), 0}, {deployment{300, 90}, seconds(9), 0}, {deployment{80, 16}, seconds(15), 4}} {
+		for _, s := range scenarios() {
+			for seed := range uint64(seedsPerScenario) {
+				x := runScenario(s, tc.gateways, tc.capacity, seed, newPacer)
 				x.check(t, tc.gateways, s.name)
-				if x.p90 > tc.late || x.untold > tc.untold {
-					t.Errorf("%d gateways, %s: nine in ten told after %v, %d never, want %v, %d", tc.gateways, s.name, x.p90, x.untold, tc.late, tc.untold)
+				if x.p90Delay > tc.maxP90Delay || x.neverUpdated > tc.maxNeverUpdated {
+					t.Errorf("%d gateways, %s: p90 delay %v, %d never updated, want at most %v and %d", tc.gateways, s.name, x.p90Delay, x.neverUpdated, tc.maxP90Delay, tc.maxNeverUpdated)
 				}
 			}
 		}
 	}
 }
 
-// BenchmarkPauses reports the figures of the former pauses, and of none, beside those of now: seconds until told, at
-// worst and of nine in ten; gateways never told; calls a second, mean and peak; and calls worked on in vain.
-func BenchmarkPauses(b *testing.B) {
+// BenchmarkRetryPolicies compares Pacer with the previous policy, with pauses after refusals of 4 to 16 s and of a constant
+// 50 ms. It reports the maximum and the 90th percentile of the seconds until a change is received, the gateways that
+// are never updated, the mean and the peak of the calls a second, and the wasted calls.
+func BenchmarkRetryPolicies(b *testing.B) {
 	former := func(first, most time.Duration) func(*rand.Rand) caller {
-		return func(r *rand.Rand) caller { return newFormer(first, most, r) }
+		return func(r *rand.Rand) caller { return newPreviousPolicy(first, most, r) }
 	}
-	for _, c := range []served{{2, 4}, {30, 15}, {300, 150}, {300, 90}, {80, 16}} {
-		for _, s := range scenes() {
+	for _, c := range []deployment{{2, 4}, {30, 15}, {300, 150}, {300, 90}, {80, 16}} {
+		for _, s := range scenarios() {
 			for _, p := range []struct {
 				name string
 				make func(*rand.Rand) caller
-			}{{"now", paced}, {"4-16s", former(4*time.Second, 16*time.Second)}, {"50ms", former(50*time.Millisecond, 50*time.Millisecond)}} {
+			}{{"now", newPacer}, {"4-16s", former(4*time.Second, 16*time.Second)}, {"50ms", former(50*time.Millisecond, 50*time.Millisecond)}} {
 				b.Run(fmt.Sprintf("%d at %.0f per s/%s/%s", c.gateways, c.capacity, s.name, p.name), func(b *testing.B) {
 					for b.Loop() {
-						x := play(s, c.gateways, c.capacity, 0, p.make)
-						for unit, v := range map[string]float64{"s-worst": x.worst.Seconds(), "s-p90": x.p90.Seconds(), "never": float64(x.untold),
-							"calls/s": x.mean, "peak/s": x.peak, "vain": float64(x.vain)} {
+						x := runScenario(s, c.gateways, c.capacity, 0, p.make)
+						for unit, v := range map[string]float64{"s-worst": x.maxDelay.Seconds(), "s-p90": x.p90Delay.Seconds(), "never": float64(x.neverUpdated),
+							"calls/s": x.meanCalls, "peak/s": x.peakCalls, "vain": float64(x.wasted)} {
 							b.ReportMetric(v, unit)
 						}
 					}
