--- a/internal/watch/pacer.go
+++ b/internal/watch/pacer.go
@@ -1,43 +1,46 @@
-// Package watch decides when a gateway calls discovery and how: a pure state machine without I/O, clock or goroutine.
-// Whoever makes the calls asks it for the next one, makes that, tells how it ended, and pauses as it says.
+// Package watch decides when and how a gateway calls discovery. It is a pure state machine without I/O, clock or goroutines.
+// The caller asks it for the next call, makes that call, reports the outcome, and pauses as the result says.
 //
-// # The bound
+// # Maximum update delay
 //
-// A change counts as told 6 s after discovery had it and could be reached, and what a silent watch misses 6 s after it
-// fell silent (2 s after its wait is over, if that is later), whatever failed, was refused or given up in between.
-// These are all the paths from there to the answer where discovery is asked for lists, with each pause at its longest.
-// A line is how long a call stands in line at discovery: none where it is spared, 2 s where its line is full.
+// A gateway must receive a change at most 6 s after discovery has it and can be reached. A change that a silent watch misses
+// must be received at most 6 s after the watch fell silent, or 2 s after the end of its wait if that is later. This holds
+// whatever calls failed, were refused or timed out in between.
 //
-//	a pause after refusals, 2.5 s, a call                                 2.5 s + line
-//	a call in vain, 2.2 s, its pause, 0.3 s, a call                       2.5 s + line
-//	a call in vain, a pause, a refusal, a pause that ends at 5 s, a call  5.0 s + line
-//	a failed call's pause, 1 s, a call                                    1.0 s + line
-//	a failed call's pause, 1 s, a refusal, a pause, 2.5 s, a call         3.5 s + line
-//	a silent watch, 4.5 s, its pause, 0.05 s, a call                      4.55 s + line
-//	a silent watch, a refusal, a pause that ends at 5 s, a call           5.0 s + line
-//	a list that began anew: the call for the whole list comes on top      + line
+// The table lists all paths from that moment to the answer, with each pause at its maximum, for a gateway that calls discovery
+// itself. "queue" is how long a call waits in discovery's queue: 0 if discovery is idle, 2 s if its queue is full.
 //
-// So the longest is 4.5 s with a full line in front, but for a silent watch, which leaves 1.5 s for the line, and for a
-// refusal after a call in vain or a silent watch, which leaves 1 s. No path is longer unless discovery refuses twice
-// after the moment that the bound counts from. One that goes on refusing is serving others; a gateway tries again 0.8,
-// 2.4 and 4.9 s after the first refusal at the latest. With an agent of the gateway's own a call in vain takes 0.2 s
-// and is followed by no pause; each other pause but those after refusals is 0.05 s at most.
+//	pause after refusals 2.5 s, call                                         2.5 s + queue
+//	call that times out 2.2 s, pause 0.3 s, call                             2.5 s + queue
+//	call that times out, pause, refusal, pause that ends at 5 s, call        5.0 s + queue
+//	pause after a failed call 1 s, call                                      1.0 s + queue
+//	pause after a failed call 1 s, refusal, pause 2.5 s, call                3.5 s + queue
+//	silent watch 4.5 s, pause 0.05 s, call                                   4.55 s + queue
+//	silent watch, refusal, pause that ends at 5 s, call                      5.0 s + queue
+//	discovery restarted its versions: the call for the full list in addition + queue
 //
-// # What discovery needs
+// The longest path is 4.5 s with a full queue, with two exceptions. A silent watch leaves 1.5 s for the queue. A refusal after
+// a call that timed out or after a silent watch leaves 1 s. A path is longer only if discovery refuses twice after the moment
+// from which the delay is counted. A discovery that keeps refusing is serving other callers; the gateway then tries again at
+// most 0.8, 2.4 and 4.9 s after the first refusal. With an agent on the gateway's machine a call times out after 0.2 s and
+// no pause follows. All other pauses with an agent, except those after refusals, are at most 0.05 s.
 //
-// Each gateway makes a call in 4 s and one more at each change, and where something befalls the whole fleet, all call
-// at once. With n gateways discovery has to serve n/4 calls a second in a steady time, and a line of 2 s holds the
-// whole fleet where it serves n/2: then nothing is refused for long, and all paths hold. With 0.3 n nine in ten were
-// told within 9 s and all within 15 s in the model of the tests. Under n/4 calls are refused for as long as that lasts,
-// and gateways are told in turn: those refused make no more than n/1.25 calls a second all together, and those in line
-// are not given up, so that discovery works in vain for next to nobody.
+// # Required capacity of discovery
+//
+// Each gateway makes one call every 4 s and one more for each change. An event that affects all gateways makes all of them
+// call at once. With n gateways, discovery has to serve n/4 calls a second in steady operation. If it serves n/2 calls a
+// second, its queue of 2 s holds a call of each gateway: then no calls are refused for long, and all paths above hold. At
+// 0.3 n calls a second, 90 % of the gateways received changes within 9 s and all within 15 s in the model of the tests. Below
+// n/4, calls are refused for as long as that lasts, and the gateways receive changes one after another: all refused gateways
+// together make at most n/1.25 calls a second. Queued calls are not given up, so discovery does almost no work for callers that
+// have left.
 //
 // # Agents
 //
-// An agent on the gateway's own machine is silent while discovery is down, and what it gets at the return counts as told at
-// once. So the calls that find out whether it is back follow one another without a pause: until the next one is out 0.2 s go by
-// at most, which the grace of a drain, 0.25 s, has to cover. The first call of a process is such a call as well: a watch can't
-// tell a silent agent from a fleet that does not change.
+// An agent on the gateway's machine does not answer while discovery is down. A change that it gets when discovery returns must
+// be received at once. So the calls that find out whether the agent is back follow one another without a pause. The next call
+// goes out after at most 0.2 s, which the drain grace of 0.25 s has to cover. The first call of a process is also such a call,
+// because a watch can't distinguish a silent agent from a server list that does not change.
 package watch
 
 import (
@@ -47,237 +50,244 @@
 )
 
 const (
-	// AnswerWithin is how long the answer of an agent may take once it has begun. It is the longest that any call is given.
-	AnswerWithin = patienceMost
+	// AnswerTimeout is the time within which an agent's answer must be complete once it has begun. It equals the longest
+	// timeout of a call.
+	AnswerTimeout = maxCallTimeout
 
-	// Bound is within what a change has to be told, counted as the package comment says; the operators' term.
-	Bound = 6 * time.Second
-	// reserve is kept of the bound for the last call's line, answer and posting.
-	reserve = time.Second
+	// MaxUpdateDelay is the operators' limit for the time until a gateway receives a change. The package comment says how it
+	// is counted.
+	MaxUpdateDelay = 6 * time.Second
+	// answerReserve is the part of MaxUpdateDelay that is kept for the last call: its time in the queue, its
+	// answer, and the delivery of the list in the gateway.
+	answerReserve = time.Second
 
-	watchWait  = 4 * time.Second        // a watch waits so long for news ...
-	watchOver  = 500 * time.Millisecond // ... and is given up so long after: discovery that is down says nothing
-	agentCheck = 200 * time.Millisecond // a call to an agent that need not wait is given up after this
-	// On a call that was given up discovery works all the same, and who gives up while it stands in line comes back
-	// to the end of the same line. So the time given is that of a full line, which was seen to be 2 s, and the way
-	// there and back; a shorter one that was configured doubles to it. In the model, 1 s at first made up to 800 of
-	// 300 gateways' calls vain in 30 s, 2.2 s none.
-	patienceMost = 2200 * time.Millisecond
+	watchWait         = 4 * time.Second        // how long a watch waits for changes
+	watchGrace        = 500 * time.Millisecond // a watch times out this long after its wait, as discovery that is down does not answer
+	agentCheckTimeout = 200 * time.Millisecond // timeout of a call to an agent that is not a watch
+	// maxCallTimeout is the timeout of a call that is not a watch. Discovery also works on calls that timed out, and a caller that
+	// gives up while queued joins the end of the same queue. So the timeout covers a full queue, which was observed to be
+	// 2 s, and the round trip. A shorter configured timeout doubles up to this value. In the model with 300 gateways, an
+	// initial timeout of 1 s wasted up to 800 calls in 30 s, and 2.2 s wasted none.
+	maxCallTimeout = 2200 * time.Millisecond
 
-	// Retry is the pause after the first failure, after each one that an agent tells at once, and before discovery that does not
-	// wait is asked again. From one failure to the next it doubles, where discovery is asked for lists.
-	Retry     = 50 * time.Millisecond
-	retryMost = time.Second
-	// vainMost is the longest pause after a call that got no answer: spread, as a fleet that lost discovery at one
-	// moment would else come back at one moment.
-	vainMost = 300 * time.Millisecond
+	// RetryPause is the pause after the first failure, after each immediate failure of an agent, and before the next call to
+	// a discovery that answers a watch at once with no changes. Without an agent it doubles with each further failure, up to
+	// maxRetryPause.
+	RetryPause    = 50 * time.Millisecond
+	maxRetryPause = time.Second
+	// maxTimeoutPause is the longest pause after a call that timed out. The pause is random, because gateways that lost
+	// discovery at the same moment would otherwise call again at the same moment.
+	maxTimeoutPause = 300 * time.Millisecond
 
-	// RefusedFirst and RefusedMost bound the pauses after refusals, which double, are halved by an answer, and are drawn
-	// from their upper half.
-	// The first is short, as little may be left of the bound. The last and a full line make 4.5 s. In the model, firsts of 0.4 to
-	// 2.5 s differ by little where all of the fleet fits into the line, or in half of a fleet too large for it.
-	RefusedFirst = 800 * time.Millisecond
-	RefusedMost  = 2500 * time.Millisecond
+	// FirstRefusalPause and MaxRefusalPause are the first and the greatest upper limit of the pause after a refusal. The limit
+	// doubles with each refusal, and an answer halves it. The pause is random, between half the limit and the limit.
+	// The first limit is short, because little of MaxUpdateDelay may be left. The greatest limit and a full queue make 4.5 s.
+	// In the model, first limits of 0.4 to 2.5 s make little difference if all gateways fit into the queue; if they do not,
+	// they make little difference for half of the gateways.
+	FirstRefusalPause = 800 * time.Millisecond
+	MaxRefusalPause   = 2500 * time.Millisecond
 )
 
-// ErrUnheld says that discovery told changes to a list that the gateway does not hold.
-var ErrUnheld = errors.New("changes to a list that this gateway does not hold")
+// ErrNoBaseList is the error for an answer with changes when the gateway holds no list to apply them to.
+var ErrNoBaseList = errors.New("discovery sent changes, but this gateway holds no list to apply them to")
 
-// Config is how a gateway calls discovery. A duration of 0 stands for the default.
+// Config configures how a gateway calls discovery. A duration of 0 means the default.
 type Config struct {
-	Agent   bool          // lists are pushed to an agent on the gateway's machine, which is asked at no cost
-	Held    bool          // a whole list is held already, of the version
-	Version uint64        // of the list that is held
-	Wait    time.Duration // of a watch; 4 s
-	Over    time.Duration // past its wait a watch is given up; 0.5 s
-	Check   time.Duration // a call that does not wait is given up, at first; 2.2 s, with an agent 0.2 s
+	Agent        bool          // calls go to an agent on the gateway's machine, to which lists are pushed; they cost nothing
+	HasList      bool          // the gateway already holds a full list, of the given Version
+	Version      uint64        // of the list that the gateway holds
+	WatchWait    time.Duration // how long a watch waits for changes; default 4 s
+	WatchGrace   time.Duration // a watch times out this long after its wait; default 0.5 s
+	CheckTimeout time.Duration // first timeout of other calls; default 2.2 s, with an agent 0.2 s
 }
 
-// Kind says what a call asks for.
+// Kind is what a call requests.
 type Kind int
 
 const (
-	Whole Kind = iota // the whole list
-	Watch             // changes, and to wait for some
-	Check             // changes, answered at once: it tells whether discovery is up, which a watch can't
+	FullList Kind = iota // the full list
+	Watch                // changes; discovery waits until there are some
+	Check                // changes, answered at once; unlike a watch it shows whether discovery is up
 )
 
-// Call is what discovery is to be asked.
+// Call is a call to make to discovery.
 type Call struct {
-	Kind   Kind
-	After  uint64        // Watch, Check: changes since this version
-	Wait   time.Duration // Watch: for news
-	Within time.Duration // the call is given up then
+	Kind    Kind
+	After   uint64        // Watch and Check: request changes since this version
+	Wait    time.Duration // Watch: how long discovery waits for changes
+	Timeout time.Duration // of the whole call
 }
 
-// End says how a call ended.
-type End int
+// Outcome is how a call ended.
+type Outcome int
 
 const (
-	Answered End = iota // with a list that can be used
-	Refused             // discovery is up and has too many calls
-	Failed              // at once: no connection, a reset, another status, a list that can't be used
-	TimedOut            // no answer within the call's time, or no connection
+	Answered Outcome = iota // with a valid list
+	Refused                 // discovery is up but overloaded
+	Failed                  // at once: connection failure, reset, unexpected status, or invalid list
+	TimedOut                // no answer or no connection within the call's timeout
 )
 
-// String is the end's name in metrics.
-func (e End) String() string { return [...]string{"answered", "refused", "failed", "timed_out"}[e] }
+// String returns the value of the outcome in metrics.
+func (e Outcome) String() string { return [...]string{"answered", "refused", "failed", "timed_out"}[e] }
 
-// Result tells how a call ended. Version, Full and Entries are those of an answer.
+// Result describes a completed call. Version, Full and Entries are set if it was answered.
 type Result struct {
-	End     End
+	Outcome Outcome
 	Version uint64
-	Full    bool // the whole list
+	Full    bool // the answer holds the full list, not changes
 	Entries int
 }
 
-// Step is what follows a call.
+// Step is what to do after a call.
 type Step struct {
-	Take  bool          // the answer's list holds news for the gateway
-	Heard bool          // discovery was heard: the gateway holds what it knew
-	Err   error         // ErrUnheld, or nil
-	Pause time.Duration // before the next call
+	HasChanges bool          // the answer holds a list or changes to apply
+	UpToDate   bool          // after applying the answer the gateway holds discovery's current list
+	Err        error         // ErrNoBaseList or nil
+	Pause      time.Duration // before the next call
 }
 
-// Pacer paces one gateway's calls, one after the other. Random numbers come from the source that it is given; it is
-// not safe for concurrent use.
+// Pacer schedules the calls of one gateway, one at a time. Its random numbers come from the given source. It is not safe for
+// concurrent use.
 type Pacer struct {
-	cfg      Config
-	rng      *rand.Rand
-	held     bool
-	version  uint64
-	failing  bool          // a short call finds out whether discovery is up
-	patience time.Duration // of a call that does not wait
-	retry    time.Duration // the next failure's pause
-	idle     time.Duration // the next pause for answers that come at once with nothing
-	refused  time.Duration // the longest that the next refusal's pause may be
-	call     Call
-	called   time.Duration
-	due      time.Duration // the call that follows the next refusal has to go out by then; 0: as the pause says
+	cfg          Config
+	rng          *rand.Rand
+	hasList      bool
+	version      uint64
+	failing      bool          // the next call is a Check, which finds out whether discovery is up
+	callTimeout  time.Duration // of calls other than watches
+	retryPause   time.Duration // upper limit of the pause after the next failure
+	emptyPause   time.Duration // upper limit of the pause after the next immediate answer without changes
+	refusalPause time.Duration // upper limit of the pause after the next refusal
+	call         Call
+	calledAt     time.Duration
+	nextCallBy   time.Duration // latest time of the call after the next refusal; 0: no limit
 }
 
-// New returns a pacer before its first call.
+// New returns a Pacer for a gateway that has made no call yet.
 func New(cfg Config, rng *rand.Rand) *Pacer {
-	check := patienceMost
+	check := maxCallTimeout
 	if cfg.Agent {
-		check = agentCheck
+		check = agentCheckTimeout
 	}
 	for _, d := range []struct {
 		field *time.Duration
 		value time.Duration
-	}{{&cfg.Wait, watchWait}, {&cfg.Over, watchOver}, {&cfg.Check, check}} {
+	}{{&cfg.WatchWait, watchWait}, {&cfg.WatchGrace, watchGrace}, {&cfg.CheckTimeout, check}} {
 		if *d.field == 0 {
 			*d.field = d.value
 		}
 	}
-	p := &Pacer{cfg: cfg, rng: rng, held: cfg.Held, version: cfg.Version}
-	p.calm()
-	p.failing = cfg.Agent // it has not been heard yet
+	p := &Pacer{cfg: cfg, rng: rng, hasList: cfg.HasList, version: cfg.Version}
+	p.resetBackoff()
+	p.failing = cfg.Agent // a watch could not show whether the agent is up
 	return p
 }
 
-// calm forgets failures, and refusals by half: a gateway that was told can better wait than one that was not.
-func (p *Pacer) calm() {
-	p.failing, p.patience, p.retry, p.refused, p.due = false, p.cfg.Check, Retry, max(p.refused/2, RefusedFirst), 0
+// resetBackoff resets the state after an answer. The refusal pause is only halved: a gateway that has just received an answer can
+// wait longer than one that has not.
+func (p *Pacer) resetBackoff() {
+	p.failing, p.callTimeout, p.retryPause, p.refusalPause, p.nextCallBy = false, p.cfg.CheckTimeout, RetryPause, max(p.refusalPause/2, FirstRefusalPause), 0
 }
 
-// Next is the call to make now; times count from any one moment. A watch can't tell discovery that is down from a
-// fleet that does not change, so after a failure short calls, which are answered at once, find out when discovery is
-// back. Discovery that turns calls away is up, and a short call would only be one more for it: the watch is tried
-// again itself.
+// Next returns the call to make now. All times are offsets from one arbitrary moment. A watch can't distinguish a discovery that
+// is down from a server list that does not change. So after a failure the next call is a Check, which is answered at once.
+// After a refusal the watch itself is repeated: discovery is known to be up, and a Check would only add load.
 func (p *Pacer) Next(now time.Duration) Call {
 	switch {
-	case !p.held:
-		p.call = Call{Kind: Whole, Within: p.patience}
+	case !p.hasList:
+		p.call = Call{Kind: FullList, Timeout: p.callTimeout}
 	case p.failing:
-		p.call = Call{Kind: Check, After: p.version, Within: p.patience}
+		p.call = Call{Kind: Check, After: p.version, Timeout: p.callTimeout}
 	default:
-		p.call = Call{Kind: Watch, After: p.version, Wait: p.cfg.Wait, Within: p.cfg.Wait + p.cfg.Over}
+		p.call = Call{Kind: Watch, After: p.version, Wait: p.cfg.WatchWait, Timeout: p.cfg.WatchWait + p.cfg.WatchGrace}
 	}
-	p.called = now
+	p.calledAt = now
 	return p.call
 }
 
-// Done tells how the last call ended, and returns what follows.
+// Done reports the result of the last call and returns what to do next.
 func (p *Pacer) Done(now time.Duration, r Result) Step {
 	switch {
-	case r.End == Answered && !p.held && !r.Full:
-		return Step{Err: ErrUnheld, Pause: p.failed()}
-	case r.End == Answered:
-		return p.answered(now, r)
-	case r.End == Refused:
-		return Step{Pause: p.turnedAway(now)}
-	case r.End == TimedOut:
-		return Step{Pause: p.inVain()}
+	case r.Outcome == Answered && !p.hasList && !r.Full:
+		return Step{Err: ErrNoBaseList, Pause: p.onFailure()}
+	case r.Outcome == Answered:
+		return p.onAnswer(now, r)
+	case r.Outcome == Refused:
+		return Step{Pause: p.onRefusal(now)}
+	case r.Outcome == TimedOut:
+		return Step{Pause: p.onTimeout()}
 	}
-	return Step{Pause: p.failed()}
+	return Step{Pause: p.onFailure()}
 }
 
-func (p *Pacer) answered(now time.Duration, r Result) Step {
-	p.calm()
-	if p.held && !r.Full && r.Version < p.version { // it has begun anew: what it calls changes would be lost on the list held
-		p.held = false
+// onAnswer returns what to do after an answer.
+func (p *Pacer) onAnswer(now time.Duration, r Result) Step {
+	p.resetBackoff()
+	if p.hasList && !r.Full && r.Version < p.version { // discovery restarted its versions: its changes do not apply to the list held
+		p.hasList = false
 		return Step{}
 	}
-	p.held, p.version = true, r.Version
-	s := Step{Take: r.Full || r.Entries > 0, Heard: true}
+	p.hasList, p.version = true, r.Version
+	s := Step{HasChanges: r.Full || r.Entries > 0, UpToDate: true}
 	switch {
-	case s.Take || now-p.called >= Retry:
-		p.idle = Retry
+	case s.HasChanges || now-p.calledAt >= RetryPause:
+		p.emptyPause = RetryPause
 	case p.call.Kind == Check:
-		s.Pause = Retry
-	default: // discovery that does not wait must not be asked without end
-		p.idle = max(p.idle, Retry)
-		s.Pause, p.idle = p.upper(p.idle), p.doubled(p.idle, retryMost)
+		s.Pause = RetryPause
+	default: // avoid a busy loop if discovery answers watches at once
+		p.emptyPause = max(p.emptyPause, RetryPause)
+		s.Pause, p.emptyPause = p.jitter(p.emptyPause), p.nextPause(p.emptyPause, maxRetryPause)
 	}
 	return s
 }
 
-// turnedAway draws the pause after a refusal: doubling, as how many gateways call is not known here, and spread, as
-// pauses that are alike would bring the whole fleet back at once.
-func (p *Pacer) turnedAway(now time.Duration) time.Duration {
-	most := p.refused
-	if p.due > now { // little is left of the bound, so this one is short; the next need not be
-		most = max(min(most, p.due-now), Retry)
+// onRefusal returns the pause after a refusal. Its limit doubles, because the number of calling gateways is not known here. It is
+// random, because equal pauses would make all gateways call again at once.
+func (p *Pacer) onRefusal(now time.Duration) time.Duration {
+	most := p.refusalPause
+	if p.nextCallBy > now { // little of MaxUpdateDelay is left, so this pause is short; the next one need not be
+		most = max(min(most, p.nextCallBy-now), RetryPause)
 	}
-	p.failing, p.due = false, 0
-	p.refused = min(2*p.refused, RefusedMost)
-	return p.upper(most)
+	p.failing, p.nextCallBy = false, 0
+	p.refusalPause = min(2*p.refusalPause, MaxRefusalPause)
+	return p.jitter(most)
 }
 
-// inVain follows a call without an answer.
-func (p *Pacer) inVain() time.Duration {
-	p.due = p.called + Bound - reserve
+// onTimeout returns the pause after a call that timed out.
+func (p *Pacer) onTimeout() time.Duration {
+	p.nextCallBy = p.calledAt + MaxUpdateDelay - answerReserve
 	if p.call.Kind != Watch && !p.cfg.Agent {
-		p.patience = min(2*p.patience, max(patienceMost, p.cfg.Check))
+		p.callTimeout = min(2*p.callTimeout, max(maxCallTimeout, p.cfg.CheckTimeout))
 	}
 	p.failing = true
 	switch {
-	case p.call.Kind == Watch: // its time is spent, and watches of a fleet end at different times
-		return Retry
+	case p.call.Kind == Watch: // it has used its time, and the watches of the gateways end at different times
+		return RetryPause
 	case p.cfg.Agent:
 		return 0
 	}
-	return Retry + time.Duration(p.rng.Int64N(int64(vainMost-Retry)))
+	return RetryPause + time.Duration(p.rng.Int64N(int64(maxTimeoutPause-RetryPause)))
 }
 
-// failed follows a call that failed at once.
-func (p *Pacer) failed() time.Duration {
-	pause := p.upper(p.retry)
-	p.failing, p.retry = true, p.doubled(p.retry, retryMost)
+// onFailure returns the pause after a call that failed at once.
+func (p *Pacer) onFailure() time.Duration {
+	pause := p.jitter(p.retryPause)
+	p.failing, p.retryPause = true, p.nextPause(p.retryPause, maxRetryPause)
 	return pause
 }
 
-// doubled is the next longest pause, up to most. An agent's calls are free, and what it gets when discovery returns
-// counts as told at once: there pauses stay as they are, as does the time that a call is given.
-func (p *Pacer) doubled(d, most time.Duration) time.Duration {
+// nextPause returns the upper limit of the pause after d: twice d, but at most most. With an agent it returns d. Calls to an agent
+// cost nothing, and a change that it gets when discovery returns must be received at once. For the same reason the timeout of
+// calls to an agent does not grow.
+func (p *Pacer) nextPause(d, most time.Duration) time.Duration {
 	if p.cfg.Agent {
 		return d
 	}
 	return min(2*d, most)
 }
 
-// upper draws from the upper half of a duration.
-func (p *Pacer) upper(d time.Duration) time.Duration {
+// jitter returns a random duration between d/2 and d.
+func (p *Pacer) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(p.rng.Int64N(int64(d/2)+1))
 }
--- a/internal/watch/pacer_test.go
+++ b/internal/watch/pacer_test.go
@@ -7,52 +7,54 @@
 	"time"
 )
 
-func newSource(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(1, seed)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(1, seed)) }
 
-// path drives one pacer by hand on a clock of its own.
-type path struct {
+// driver drives one Pacer on its own clock.
+type driver struct {
 	p    *Pacer
 	rng  *rand.Rand
 	now  time.Duration
 	call Call
 }
 
-func (x *path) next() { x.call = x.p.Next(x.now) }
+// next starts the next call.
+func (x *driver) next() { x.call = x.p.Next(x.now) }
 
-// ends lets the open call end that long after it began, and the pause pass.
-func (x *path) ends(after time.Duration, r Result) {
+// finish ends the current call, passes the pause, and starts the next call.
+func (x *driver) finish(after time.Duration, r Result) {
 	x.now += after
 	x.now += x.p.Done(x.now, r).Pause
 	x.next()
 }
 
-// history is any sequence of ends before the moment that the bound counts from.
-func (x *path) history() {
+// randomHistory ends up to 7 calls with random outcomes. They precede the moment from which the delay is counted.
+func (x *driver) randomHistory() {
 	for range x.rng.IntN(8) {
 		switch x.rng.IntN(4) {
 		case 0:
-			x.ends(x.call.Wait, Result{End: Answered, Version: 1})
+			x.finish(x.call.Wait, Result{Outcome: Answered, Version: 1})
 		case 1:
-			x.ends(0, Result{End: Refused})
+			x.finish(0, Result{Outcome: Refused})
 		case 2:
-			x.ends(0, Result{End: Failed})
+			x.finish(0, Result{Outcome: Failed})
 		case 3:
-			x.ends(x.call.Within, Result{End: TimedOut})
+			x.finish(x.call.Timeout, Result{Outcome: TimedOut})
 		}
 	}
 }
 
-// Whatever went before, the call that tells a change goes out in time: discovery has it and could be reached from a
-// random moment on, of which the open call, or the pause behind it, gains nothing; and the first call after that may
-// be refused. A watch that is open then counts as silent. What is left to the bound is for line and answer.
-func TestEveryPathLeavesTimeForTheAnswer(t *testing.T) {
+// After any history, the call that returns a change must start early enough to keep MaxUpdateDelay. Discovery has the change and
+// is reachable from a random moment on. The call that is open then does not return it: a watch is silent, another call times
+// out, fails or is refused. The first call after that may be refused as well. The rest of MaxUpdateDelay is for the queue and
+// the answer.
+func TestRetryPathsKeepMaxUpdateDelay(t *testing.T) {
 	for _, agent := range []bool{false, true} {
 		worst := map[string]time.Duration{}
 		for seed := range uint64(20_000) {
-			x := &path{p: New(Config{Agent: agent, Held: true, Version: 1}, newSource(seed)), rng: newSource(seed + 1<<32)}
+			x := &driver{p: New(Config{Agent: agent, HasList: true, Version: 1}, newRand(seed)), rng: newRand(seed + 1<<32)}
 			x.next()
-			x.history()
-			from := x.now // worst: as the call has just gone out, in vain
+			x.randomHistory()
+			from := x.now // the worst case: the call has just started and does not return the change
 			silent := x.call.Kind == Watch
 			name := "call"
 			if silent {
@@ -60,63 +62,63 @@
 			}
 			switch x.rng.IntN(3) {
 			case 0:
-				name += " in vain"
-				x.ends(x.call.Within, Result{End: TimedOut})
+				name += " timed out"
+				x.finish(x.call.Timeout, Result{Outcome: TimedOut})
 			case 1:
 				name += " failed"
-				x.ends(0, Result{End: Failed})
+				x.finish(0, Result{Outcome: Failed})
 			case 2:
 				name += " refused"
-				x.ends(0, Result{End: Refused})
+				x.finish(0, Result{Outcome: Refused})
 			}
 			worst[name] = max(worst[name], x.now-from)
 			if name == "call refused" || name == "watch refused" {
 				continue
 			}
-			x.ends(0, Result{End: Refused})
+			x.finish(0, Result{Outcome: Refused})
 			worst[name+", refused"] = max(worst[name+", refused"], x.now-from)
 		}
 		for name, d := range worst {
-			most := Bound - reserve
-			if name == "call in vain" || name == "call failed" || name == "call refused" || name == "watch refused" {
-				most = 2500 * time.Millisecond // with a full line of 2 s: 4.5 s
+			most := MaxUpdateDelay - answerReserve
+			if name == "call timed out" || name == "call failed" || name == "call refused" || name == "watch refused" {
+				most = 2500 * time.Millisecond // 4.5 s with a full queue of 2 s
 			}
-			t.Logf("agent %v, %s: the next call is out after %v", agent, name, d)
+			t.Logf("agent %v, %s: the next call starts after %v", agent, name, d)
 			if d > most {
-				t.Errorf("agent %v, %s: the next call is out after %v, want %v at most", agent, name, d, most)
+				t.Errorf("agent %v, %s: the next call starts after %v, want at most %v", agent, name, d, most)
 			}
 		}
 		if len(worst) != 10 {
-			t.Errorf("agent %v: %d kinds of paths were seen, want 10", agent, len(worst))
+			t.Errorf("agent %v: %d kinds of paths occurred, want 10", agent, len(worst))
 		}
 	}
 }
 
-// Where lists are pushed the agent on the gateway's machine answers at once, and what it gets when discovery
-// returns counts as told: calls in vain must not make the next one wait for longer. A discovery that serves the
-// whole fleet is given more time.
-func TestPatienceWithDiscovery(t *testing.T) {
+// The timeout of calls to an agent must not grow with calls that time out. The agent answers at once, and a change that it gets
+// when discovery returns must be received at once. Without an agent the timeout doubles up to its maximum, because
+// discovery serves all gateways.
+func TestCallTimeoutStaysBounded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		agent bool
 		want  time.Duration
-	}{"agent": {true, agentCheck}, "asked": {false, patienceMost}} {
-		x := &path{p: New(Config{Agent: tc.agent, Check: agentCheck}, newSource(1))}
+	}{"agent": {true, agentCheckTimeout}, "no agent": {false, maxCallTimeout}} {
+		x := &driver{p: New(Config{Agent: tc.agent, CheckTimeout: agentCheckTimeout}, newRand(1))}
 		x.next()
 		for range 8 {
-			last := x.call.Within
-			x.ends(last, Result{End: TimedOut})
-			if x.call.Within != min(2*last, tc.want) {
-				t.Errorf("%s: a call is given %v after one that had %v", name, x.call.Within, last)
+			last := x.call.Timeout
+			x.finish(last, Result{Outcome: TimedOut})
+			if x.call.Timeout != min(2*last, tc.want) {
+				t.Errorf("%s: the timeout is %v after one of %v", name, x.call.Timeout, last)
 			}
 		}
-		if x.call.Within != tc.want {
-			t.Errorf("%s: a call is given %v after eight in vain, want %v", name, x.call.Within, tc.want)
+		if x.call.Timeout != tc.want {
+			t.Errorf("%s: the timeout is %v after eight calls that timed out, want %v", name, x.call.Timeout, tc.want)
 		}
 	}
 }
 
-// What the next call is, and what is taken of an answer.
-func TestSteps(t *testing.T) {
+// Each outcome must lead to the right next call. Only answers that apply to the list held may be applied.
+func TestNextCallAfterOutcome(t *testing.T) {
 	const held = 41
 	for name, tc := range map[string]struct {
 		unheld bool
@@ -125,21 +127,21 @@
 		err    error
 		next   Call
 	}{
-		"news":       {false, Result{End: Answered, Version: 42, Entries: 1}, true, nil, Call{Watch, 42, watchWait, watchWait + watchOver}},
-		"no news":    {false, Result{End: Answered, Version: held}, false, nil, Call{Watch, held, watchWait, watchWait + watchOver}},
-		"whole":      {false, Result{End: Answered, Version: 7, Full: true}, true, nil, Call{Watch, 7, watchWait, watchWait + watchOver}},
-		"began anew": {false, Result{End: Answered, Version: 9, Entries: 1}, false, nil, Call{Whole, 0, 0, patienceMost}},
-		"refused":    {false, Result{End: Refused}, false, nil, Call{Watch, held, watchWait, watchWait + watchOver}},
-		"failed":     {false, Result{End: Failed}, false, nil, Call{Check, held, 0, patienceMost}},
-		"in vain":    {false, Result{End: TimedOut}, false, nil, Call{Check, held, 0, patienceMost}},
-		"first list": {true, Result{End: Answered, Version: 3, Full: true}, true, nil, Call{Watch, 3, watchWait, watchWait + watchOver}},
-		"changes":    {true, Result{End: Answered, Version: 3, Entries: 1}, false, ErrUnheld, Call{Whole, 0, 0, patienceMost}},
-		"unheld":     {true, Result{End: Refused}, false, nil, Call{Whole, 0, 0, patienceMost}},
+		"changes":            {false, Result{Outcome: Answered, Version: 42, Entries: 1}, true, nil, Call{Watch, 42, watchWait, watchWait + watchGrace}},
+		"no changes":         {false, Result{Outcome: Answered, Version: held}, false, nil, Call{Watch, held, watchWait, watchWait + watchGrace}},
+		"full list":          {false, Result{Outcome: Answered, Version: 7, Full: true}, true, nil, Call{Watch, 7, watchWait, watchWait + watchGrace}},
+		"lower version":      {false, Result{Outcome: Answered, Version: 9, Entries: 1}, false, nil, Call{FullList, 0, 0, maxCallTimeout}},
+		"refused":            {false, Result{Outcome: Refused}, false, nil, Call{Watch, held, watchWait, watchWait + watchGrace}},
+		"failed":             {false, Result{Outcome: Failed}, false, nil, Call{Check, held, 0, maxCallTimeout}},
+		"timed out":          {false, Result{Outcome: TimedOut}, false, nil, Call{Check, held, 0, maxCallTimeout}},
+		"no list, full list": {true, Result{Outcome: Answered, Version: 3, Full: true}, true, nil, Call{Watch, 3, watchWait, watchWait + watchGrace}},
+		"no list, changes":   {true, Result{Outcome: Answered, Version: 3, Entries: 1}, false, ErrNoBaseList, Call{FullList, 0, 0, maxCallTimeout}},
+		"no list, refused":   {true, Result{Outcome: Refused}, false, nil, Call{FullList, 0, 0, maxCallTimeout}},
 	} {
-		p := New(Config{Held: !tc.unheld, Version: held}, newSource(1))
+		p := New(Config{HasList: !tc.unheld, Version: held}, newRand(1))
 		p.Next(0)
 		s := p.Done(0, tc.result)
-		if s.Take != tc.take || !errors.Is(s.Err, tc.err) {
+		if s.HasChanges != tc.take || !errors.Is(s.Err, tc.err) {
 			t.Errorf("%s: got %+v", name, s)
 		}
 		if next := p.Next(s.Pause); next != tc.next {
@@ -148,45 +150,45 @@
 	}
 }
 
-// Discovery that answers each watch at once with nothing is asked ever more seldom, where it is asked for lists; news
-// ends that.
-func TestDiscoveryThatDoesNotWait(t *testing.T) {
+// A discovery that answers each watch at once without changes must not be called in a busy loop. Without an agent the pauses
+// double up to their maximum. An answer with changes resets them.
+func TestImmediateEmptyAnswersCauseNoBusyLoop(t *testing.T) {
 	for _, tc := range []struct {
 		agent bool
 		most  time.Duration
-	}{{false, retryMost}, {true, Retry}} {
-		x := &path{p: New(Config{Agent: tc.agent, Held: true, Version: 1}, newSource(1))}
+	}{{false, maxRetryPause}, {true, RetryPause}} {
+		x := &driver{p: New(Config{Agent: tc.agent, HasList: true, Version: 1}, newRand(1))}
 		x.next()
 		var last time.Duration
 		for range 8 {
 			before := x.now
-			x.ends(0, Result{End: Answered, Version: 1})
+			x.finish(0, Result{Outcome: Answered, Version: 1})
 			last = x.now - before
 		}
 		if last < tc.most/2 || last > tc.most {
 			t.Errorf("agent %v: the eighth pause is %v, want %v to %v", tc.agent, last, tc.most/2, tc.most)
 		}
-		x.ends(0, Result{End: Answered, Version: 2, Entries: 1})
+		x.finish(0, Result{Outcome: Answered, Version: 2, Entries: 1})
 		before := x.now
-		x.ends(0, Result{End: Answered, Version: 2})
-		if d := x.now - before; d > Retry {
-			t.Errorf("agent %v: the pause after news is %v, want %v at most", tc.agent, d, Retry)
+		x.finish(0, Result{Outcome: Answered, Version: 2})
+		if d := x.now - before; d > RetryPause {
+			t.Errorf("agent %v: the pause after changes is %v, want at most %v", tc.agent, d, RetryPause)
 		}
 	}
 }
 
-// What an agent gets when discovery returns counts as told at once, and a drain has to be kept 0.25 s later: calls that it does not
-// answer follow one another so closely that the next one leaves time for its answer. That holds from the first call of a
-// process on, which may begin while discovery is down.
-func TestSilentAgentIsAskedAgainInTime(t *testing.T) {
+// A change that an agent gets when discovery returns must be received at once, and a drain takes effect 0.25 s later. So calls
+// that the agent does not answer must follow one another closely enough to leave time for the answer of the next call. This
+// holds from the first call of a process on, because a process may start while discovery is down.
+func TestSilentAgentIsPolledWithinDrainGrace(t *testing.T) {
 	const grace, answer = 250 * time.Millisecond, 50 * time.Millisecond
-	x := &path{p: New(Config{Agent: true, Held: true, Version: 1}, newSource(1))}
+	x := &driver{p: New(Config{Agent: true, HasList: true, Version: 1}, newRand(1))}
 	x.next()
 	for n := range 50 {
 		before := x.now
-		x.ends(x.call.Within, Result{End: TimedOut})
+		x.finish(x.call.Timeout, Result{Outcome: TimedOut})
 		if gap := x.now - before; gap > grace-answer {
-			t.Fatalf("call %d in vain: the next one is out after %v, want %v at most", n+1, gap, grace-answer)
+			t.Fatalf("call %d timed out: the next one starts after %v, want at most %v", n+1, gap, grace-answer)
 		}
 	}
 }
