--- a/cmd/faultsoak/main.go
+++ b/cmd/faultsoak/main.go
@@ -1,5 +1,5 @@
-// Command faultsoak injects random, overlapping faults into a fleet of real gateway processes on loopback, and checks the
-// observed behaviour against the rules of the protocol. It exits with code 1 if a rule was violated.
+// Command faultsoak injects random, overlapping faults into a fleet of real gateway processes on loopback, and checks
+// the observed behaviour against the rules of the protocol. It exits with code 1 if a rule was violated.
 //
 //	go build -o /tmp/soak/ ./cmd/faultsoak
 //	go build -tags faultinjection -o /tmp/soak/ ./cmd/sloepick
--- a/cmd/wirehost/wire.go
+++ b/cmd/wirehost/wire.go
@@ -52,11 +52,11 @@
 	for _, g := range b.Gateways {
 		out := []any{}
 		for _, raw := range g.Happened {
-			acts, err := h.event(g.I, time.Duration(b.NowNs), raw)
+			actions, err := h.event(g.I, time.Duration(b.NowNs), raw)
 			if err != nil {
 				return nil, fmt.Errorf("batch %s: gateway %d: %w", b.Batch, g.I, err)
 			}
-			out = append(out, acts...)
+			out = append(out, actions...)
 		}
 		if len(out) > 0 {
 			r.Gateways = append(r.Gateways, replyGateway{g.I, out})
@@ -127,11 +127,11 @@
 	if err != nil {
 		return []any{bugReport(fmt.Sprintf("ProfileData: %v", err))}, nil
 	}
-	gw, err := decide.New(parsed.Decide, int64(e.RandomSeed))
+	gateway, err := decide.New(parsed.Decide, int64(e.RandomSeed))
 	if err != nil {
 		return []any{bugReport(err.Error())}, nil
 	}
-	h.gateways[i].gateway = gw
+	h.gateways[i].gateway = gateway
 	return nil, nil
 }
 
--- a/cmd/wirehost/wire_test.go
+++ b/cmd/wirehost/wire_test.go
@@ -30,7 +30,7 @@
 }
 
 // Each batch must get one reply, in order. Events of unknown types and for removed gateways must be ignored.
-func TestBatchAnsweredWrongly(t *testing.T) {
+func TestBatchesAreAnsweredInOrder(t *testing.T) {
 	out, err := runServe(t, startBatch+
 		`{"NowNs":1004000000,"batch":2,"gateways":[{"I":3,"happened":[{"m":"Query","Xid":"c:1","Tier":"p","Type":"get",`+
 		`"Account":"00000000000000aa","DeadlineNs":2000000000,"EntryPoints":2,"SizeUnits":1},{"m":"Elapsed","Tag":9223372036854775807}]}]}`+"\n"+
@@ -55,7 +55,7 @@
 }
 
 // A malformed batch must end serve with an error of one line that names the place, and without a reply.
-func TestMalformedBatchAccepted(t *testing.T) {
+func TestMalformedBatchIsRejected(t *testing.T) {
 	for in, want := range map[string]string{
 		"not json\n":                       "line 1",
 		`{"NowNs":"x","batch":7}` + "\n":   "NowNs",
@@ -74,14 +74,15 @@
 	}
 }
 
-func TestEndOfInputReportedAsError(t *testing.T) {
+// The end of the input must end serve without an error.
+func TestEndOfInputIsNoError(t *testing.T) {
 	if out, err := runServe(t, ""); err != nil || out != "" {
 		t.Errorf("got %q and error %v, want nothing", out, err)
 	}
 }
 
 // Settings that can't be used must be reported as a Bug of that gateway, and must not end the process.
-func TestUnusableSettingsNotReported(t *testing.T) {
+func TestUnusableSettingsAreReported(t *testing.T) {
 	for edit, want := range map[string]string{
 		`"Rank":0|"Rank":5`:            "Rank is 5",
 		`"Refill":100|"Refill":-1`:     "Plans[0].Rate is -1",
@@ -97,7 +98,7 @@
 }
 
 // A panic in package decide must be reported as a Bug, and must not end the process.
-func TestPanicEndsProcess(t *testing.T) {
+func TestPanicIsReportedAsBug(t *testing.T) {
 	g := &instance{gateway: &decide.Gateway{}} // not made by New
 	out, err := json.Marshal(g.handle(1, decide.FleetUpdate{Servers: []decide.Server{{ID: "s"}}}))
 	if err != nil || !strings.Contains(string(out), `"Bug"`) {
@@ -106,7 +107,7 @@
 }
 
 // Each action must be encoded with the names of the simulator's protocol, and without loss of digits.
-func TestActionsEncodedWrongly(t *testing.T) {
+func TestActionsAreEncodedWithProtocolNames(t *testing.T) {
 	for want, a := range map[string]decide.Action{
 		`{"AllowForNs":5,"Server":"s","Xid":"x","m":"Assign"}`:        decide.Send{ID: "x", Server: "s", Timeout: 5},
 		`{"Trial":2,"Xid":"x","m":"Withdraw"}`:                        decide.Cancel{ID: "x", Attempt: 2},
@@ -128,7 +129,7 @@
 }
 
 // Each event must be decoded from the names of the simulator's protocol, and without loss of digits.
-func TestEventsDecodedWrongly(t *testing.T) {
+func TestEventsAreDecodedFromProtocolNames(t *testing.T) {
 	for _, c := range []struct {
 		m, raw string
 		want   decide.Event
--- a/decide/api.go
+++ b/decide/api.go
@@ -348,7 +348,7 @@
 // The reasons.
 const (
 	ReasonUnknown   Reason = "unknown_class_or_plan"
-	ReasonQuota     Reason = "quota"     // this gateway's bucket, open cap or share of the ceiling has no room
+	ReasonQuota     Reason = "quota"     // this gateway's bucket, attempt cap or share of the ceiling has no room
 	ReasonOwner     Reason = "owner"     // the owner of the customer refused it
 	ReasonThrottled Reason = "throttled" // the owner refused the customer shortly before
 	ReasonShed      Reason = "shed"      // the servers are overloaded, and the request is worth too little
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -9,7 +9,7 @@
 // 300 gateways get two and a half requests a second each. If each of them sent one request to a server that has just
 // started, the server would fall over. All together they must send it some requests, but less than the rule on cold
 // servers allows.
-func TestColdServerOverloadedByManyGateways(t *testing.T) {
+func TestColdServerLimitHoldsOverTheFleet(t *testing.T) {
 	var servers []Server
 	for i := 0; i < 20; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
@@ -52,7 +52,7 @@
 
 // Where connections have a price, a gateway that sees few requests for its many servers must reuse idle connections
 // instead of connecting to a new server each time. It must still leave servers that have become slow.
-func TestIdleConnectionsNotReused(t *testing.T) {
+func TestIdleConnectionsAreReused(t *testing.T) {
 	const requests, servers, kept = 300, 60, 10 * time.Second
 	run := func(price float64) (made, slow int) {
 		var list []Server
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -36,9 +36,9 @@
 	// While the metered total exceeds the rate, the report also multiplies it by meterDecrease.
 	meterIncrease = 1.02
 	meterDecrease = 0.95
-	// A customer whose state equals that of a new one is evicted this long after its last use. This is well
-	// after peers have stopped counting on from the totals that were sent for it, which they do for
-	// peerTotalsTTL.
+	// A customer whose state equals that of a new one is evicted this long after its last use. By then its
+	// peers have long stopped counting on from the totals that were sent for it: they do so for peerTotalsTTL
+	// only.
 	customerIdleTTL = 10 * time.Second
 	peerTotalsTTL   = 5 * time.Second
 	// Customers checked for eviction at each heartbeat: minSweep, plus all customers divided by sweepDivisor.
@@ -116,7 +116,7 @@
 	// Factor on the estimate of a server without an idle connection, where connections have a price
 	// (Prices.Handshake).
 	newConnFactor = 2.5
-	// Fraction of the budget of a cold server that is used when its requests are evenly spread. The
+	// Fraction of the budget of a cold server that is used when its requests come evenly over time. The
 	// derivation is at coldRate.
 	coldBudgetFraction = 0.5
 	// Largest fraction of the budget of a cold server that may arrive within one FallWindow.
@@ -780,7 +780,7 @@
 //
 // The mean: the capacity is estimated from the answers that came. They are fewer than the servers can give,
 // overloaded or not. So the rates of all gateways add up to at most u N tokens per FallWindow, where u is the
-// result of coldBudgetUse, however uneven the traffic of the gateways is.
+// result of coldBudgetUse. This holds however uneven the traffic of the gateways is.
 //
 // The variance: a token accrues whenever a fractional count passes a whole number. The count begins at a
 // random fraction, and sending does not change it. In a time in which x tokens accrue on average, one gateway
@@ -791,8 +791,9 @@
 // that window or in the coldTokenTTL before it. Summed over the gateways, however many there are, these are
 // coldWindowFraction x N tokens on average, with a standard deviation below the square root of that. From
 // there to the bound it is 3.9 standard deviations or more for any N (3.1 where the costs of requests vary
-// from 0.5 to 2.5). This holds even if all gateways save their tokens and spend them at once, as when the
-// warm servers are overloaded. If tokens are spent evenly, the server gets u N requests per window.
+// from 0.5 to 2.5). This is the case in which all gateways save their tokens and then spend them at once, as
+// when the warm servers are overloaded. If tokens are spent evenly over time, the server gets u N requests
+// per window.
 //
 // The remaining quarter of N is for slow machines: at full load, one machine of speed 0.64 among others of
 // 0.9 on average gets 1.05 N at worst, and 0.70 N if tokens are spent evenly. Alternatively it is for a third
@@ -807,8 +808,8 @@
 		coldMinRequests/safety.FallWindow.Seconds()/float64(g.cfg.Gateways)
 }
 
-// coldBudgetUse returns the fraction of the budget of a cold server that is used. A gateway that spreads
-// requests evenly uses no more than what a warm server of the same capacity gets.
+// coldBudgetUse returns the fraction of the budget of a cold server that is used. Where spreadsEvenly holds,
+// it is no more than what a warm server of the same capacity gets.
 func (g *Gateway) coldBudgetUse() float64 {
 	if g.spreadsEvenly() {
 		return min(coldBudgetFraction, 1/g.cfg.Safety.FallMultiple)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -110,7 +110,7 @@
 }
 
 // A gateway must not admit more at once than its share of the token bucket, right after its start and later.
-func TestBurstBeyondQuota(t *testing.T) {
+func TestBurstStaysWithinQuotaShare(t *testing.T) {
 	h := newHarness(t, nil)
 	admitted := 0
 	for i := 0; i < 20; i++ {
@@ -118,8 +118,8 @@
 			admitted++
 		}
 	}
-	// The share is a third of the high-water mark of 12, and half of that counts as used after a start. A third of
-	// the request's own units has to fit below the share's mark.
+	// The share is a third of the burst of 12, and half of that counts as used after a start. Of the request's own
+	// units a third has to fit into the share.
 	if admitted < 1 || admitted > 3 {
 		t.Errorf("admitted %d requests at once after a start, want 1 to 3", admitted)
 	}
@@ -137,7 +137,7 @@
 
 // The quota must be charged with the true units once they are known, with nothing for an attempt that was never sent,
 // and in full for one that failed.
-func TestSettlementMischargesQuota(t *testing.T) {
+func TestSettlementChargesActualUnits(t *testing.T) {
 	h := newHarness(t, nil)
 	id, s := h.mustSend("get", "wide")
 	c := h.g.customers[hashKey("c")]
@@ -182,7 +182,7 @@
 
 // A gateway's share of a quota has to follow its part of the demand. It must not fall below the even share, and has to
 // return to it when the peers are silent.
-func TestQuotaShareIgnoresDemand(t *testing.T) {
+func TestQuotaShareFollowsDemand(t *testing.T) {
 	h := newHarness(t, nil)
 	h.request("get", "wide", "x", 100)
 	c := h.g.customers[hashKey("x")]
@@ -207,7 +207,7 @@
 }
 
 // Usage that peers report must count against the quota here, and must leak away over time.
-func TestPeerUsageNotCharged(t *testing.T) {
+func TestPeerUsageIsCharged(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(PeerMessage{From: 1, Text: testMessage(1, 1, testEntry("x", 1, 0, 0, 0))})
 	h.handle(PeerMessage{From: 2, Text: testMessage(1, 1)})
@@ -229,7 +229,7 @@
 
 // Messages that are duplicate, out of order, malformed or from an impossible sender must not change the usage. The
 // totals of a restarted peer must be counted in full.
-func TestBadPeerMessageChangesUsage(t *testing.T) {
+func TestBadPeerMessageDoesNotChangeUsage(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(PeerMessage{From: 1, Text: testMessage(1, 5, testEntry("x", 1, 0, 0, 0))})
 	h.handle(PeerMessage{From: 1, Text: testMessage(1, 6, testEntry("x", 1, 4, 4, 0))})
@@ -259,7 +259,7 @@
 }
 
 // A restarted gateway must take from its peers how much of a quota is used.
-func TestRestartForgetsUsageKnownToPeers(t *testing.T) {
+func TestRestartedGatewayTakesUsageFromPeers(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(PeerMessage{From: 1, Text: testMessage(1, 40, testEntry("x", 1, 700, 800, 30))})
 	h.handle(PeerMessage{From: 2, Text: testMessage(3, 50)})
@@ -268,8 +268,8 @@
 	}
 }
 
-// Messages to peers must stay within maxMessage bytes, and together they must report every customer once.
-func TestOversizedPeerMessage(t *testing.T) {
+// Messages to peers must stay within maxMessageLen bytes, and together they must report every customer once.
+func TestPeerMessagesStayWithinMaxLength(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := 0; i < 100; i++ {
 		h.serve("get", "wide", fmt.Sprint("c", i), 1)
@@ -290,7 +290,7 @@
 }
 
 // The limit on attempts in flight must hold, and the end of an attempt must free its slot.
-func TestOpenAttemptCapExceeded(t *testing.T) {
+func TestMaxOpenLimitsAttemptsInFlight(t *testing.T) {
 	h := newHarness(t, nil)
 	h.mustSend("get", "open")
 	if _, actions := h.request("get", "open", "c", 1); len(actionsOf[Refuse](actions)) != 1 {
@@ -301,7 +301,7 @@
 }
 
 // A gateway must never send more than its part of the hard ceiling, which has no tokens at the start.
-func TestHardCeilingExceeded(t *testing.T) {
+func TestHardCeilingHolds(t *testing.T) {
 	h := newHarness(t, nil)
 	if _, actions := h.request("get", "hard", "x", 8); len(actionsOf[Send](actions)) != 0 {
 		t.Fatal("sent at the start, when the ceiling must count as having no tokens")
@@ -324,7 +324,7 @@
 
 // A request whose attempt may have run must be neither repeated nor refused unless the effect of its class allows that.
 // A refusal promises the client that trying again does no harm.
-func TestRetryOrRefusalBreaksEffectRules(t *testing.T) {
+func TestRetriesAndRefusalsFollowEffectRules(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		outcome Outcome
@@ -362,7 +362,7 @@
 }
 
 // Servers drop repeats of a keyed request only within its window, so none may be sent later.
-func TestKeyedRetryAfterWindow(t *testing.T) {
+func TestKeyedRequestIsNotRetriedAfterWindow(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Classes[2].Aim, c.Classes[2].Window = 3*time.Second, time.Second })
 	id, s := h.mustSend("putall", "wide")
 	h.now += 1100 * ms
@@ -373,7 +373,7 @@
 
 // A connection may come up late, when servers have ceased to drop a repeat of a keyed request. So the gateway tells its
 // host until when a repeat may be written. First attempts and requests that are safe to repeat have no such limit.
-func TestRepeatWrittenAfterWindow(t *testing.T) {
+func TestWriteBeforeKeepsKeyedRepeatsWithinWindow(t *testing.T) {
 	for class, limited := range map[string]bool{"putall": true, "put": true, "get": false} {
 		h := newHarness(t, func(c *Config) { c.Limits.Parallel = true })
 		first := h.now
@@ -395,7 +395,7 @@
 
 // A client leaves while its request waits for the quota owner's response, for the end of an attempt or for the timer of
 // an overdue attempt. Whatever event follows, the gateway must not send the request again.
-func TestRequestSentAfterClientLeft(t *testing.T) {
+func TestRequestIsNotSentAfterClientLeft(t *testing.T) {
 	for name, edit := range map[string]func(*Config){
 		"attempt in flight":                         func(c *Config) { c.Limits.Parallel = true },
 		"attempt in flight, cancelling not allowed": func(c *Config) { c.Limits.Parallel, c.Limits.Cancel = true, false },
@@ -431,7 +431,8 @@
 	}
 }
 
-func TestNoAnswerWithoutServers(t *testing.T) {
+// Without servers a request must be refused at once.
+func TestRequestWithoutServersIsRefused(t *testing.T) {
 	h := newHarness(t, nil, []Server{}...)
 	h.handle(FleetUpdate{Kind: FleetFull})
 	if _, actions := h.request("get", "wide", "c", 1); len(actionsOf[Refuse](actions)) != 1 {
@@ -440,7 +441,7 @@
 }
 
 // Draining and removed servers must not get requests, and a failed list call must not drop the list.
-func TestRequestSentToDrainingServer(t *testing.T) {
+func TestDrainingAndRemovedServersGetNoRequests(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", State: Draining}}})
 	h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s2", State: Removed}}})
@@ -461,7 +462,7 @@
 }
 
 // A server in slow start must not get more than its part of the traffic, and has to get a usual part afterwards.
-func TestColdServerOverloaded(t *testing.T) {
+func TestColdServerGetsLimitedTraffic(t *testing.T) {
 	h := newHarness(t, nil)
 	run := func(d time.Duration) map[string]int {
 		counts := map[string]int{}
@@ -526,7 +527,7 @@
 }
 
 // A server that never answers must be found out by its overdue attempts, before their timeouts.
-func TestSilentServerKeepsReceivingRequests(t *testing.T) {
+func TestSilentServerIsDetectedByOverdueAttempts(t *testing.T) {
 	h := newHarness(t, nil)
 	lost := 0
 	for i := 0; i < 200; i++ {
@@ -548,7 +549,8 @@
 	}
 }
 
-func TestSlownessNeverFades(t *testing.T) {
+// What is known of a slow server must fade, or the server would never get a request again.
+func TestSlownessFadesOverTime(t *testing.T) {
 	h := newHarness(t, nil)
 	s := h.g.serverList[0]
 	for i := 0; i < 10; i++ {
@@ -563,7 +565,7 @@
 }
 
 // Cancelled attempts must count as load for a while, as servers may still work on them.
-func TestAbandonedAttemptsNotCountedAsLoad(t *testing.T) {
+func TestAbandonedAttemptsCountAsLoad(t *testing.T) {
 	h := newHarness(t, nil)
 	for range int(sparseOpenAllowance+minOpenPerServer) + 1 { // one above the limit for three servers and three gateways
 		id, actions := h.request("get", "wide", "c", 1)
@@ -578,7 +580,8 @@
 	h.mustSend("get", "wide")
 }
 
-func TestInvalidEventCausesAction(t *testing.T) {
+// Events with unknown classes, plans, ids or tokens, and outcomes that come twice, must have no effect but a refusal.
+func TestInvalidEventIsRefusedOrIgnored(t *testing.T) {
 	h := newHarness(t, nil)
 	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
 		if actions := h.handle(e); len(actionsOf[Refuse](actions)) != 1 {
@@ -601,7 +604,7 @@
 	}
 }
 
-func TestInvalidConfigAccepted(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for want, edit := range map[string]func(*Config){
 		"Classes is empty":             func(c *Config) { c.Classes = nil },
 		"Rank is 3":                    func(c *Config) { c.Rank = 3 },
@@ -621,7 +624,7 @@
 
 // Guards against state outside the Gateway: two gateways that get the same random events must take the same actions,
 // although another gateway runs between them.
-func TestSameEventsGiveOtherActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	one := runRandomEvents(t, 3)
 	runRandomEvents(t, 4)
 	if two := runRandomEvents(t, 3); !reflect.DeepEqual(one, two) {
@@ -819,7 +822,7 @@
 }
 
 // While the peers are silent, the metered use of the customer decides this gateway's share.
-func TestMeterIgnoredWithoutPeerMessages(t *testing.T) {
+func TestMeteredUseSetsShareWithoutPeerMessages(t *testing.T) {
 	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
 		h := newHarness(t, nil)
 		id, s := h.mustSend("get", "wide")
@@ -834,7 +837,7 @@
 
 // A few requests in flight at one gateway are chance, not overload. With one or two at each server from all gateways
 // together, cheap work must not be shed. Once they amount to a queue at every server, it must be.
-func TestSheddingWithFewOpenRequests(t *testing.T) {
+func TestFewOpenRequestsCauseNoShedding(t *testing.T) {
 	var servers []Server
 	for i := range 12 {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
@@ -866,7 +869,7 @@
 // A removed server has to be dropped once no attempt to it is in flight, or the tables grow with every release of the
 // fleet. It has to stay while it would still be in slow start: when it comes back under its id, it must not get a new
 // slow-start budget.
-func TestRemovedServersLeak(t *testing.T) {
+func TestRemovedServersAreDropped(t *testing.T) {
 	h := newHarness(t, nil)
 	id, s := h.mustSend("get", "wide")
 	h.handle(FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "new", Zone: "a", Started: h.now}}})
@@ -888,7 +891,7 @@
 
 // The list may report a removed server without its cell. The cell decides where a keyed request may be repeated, so the
 // gateway has to keep the one that it knows.
-func TestRemovedServerLosesCell(t *testing.T) {
+func TestRemovedServerKeepsCell(t *testing.T) {
 	h := newHarness(t, nil, Server{ID: "s", Zone: "a", Cell: 7})
 	h.mustSend("put", "wide")
 	h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s", State: Removed}}})
@@ -899,7 +902,7 @@
 
 // Customers that come once have to be dropped as fast as new ones arrive, but only once their state is that of a new
 // customer.
-func TestOneTimeCustomersLeak(t *testing.T) {
+func TestOneTimeCustomersAreEvicted(t *testing.T) {
 	h := newHarness(t, nil)
 	maxKept := 0
 	for i := range 20000 { // 100 new ones a second
@@ -930,7 +933,7 @@
 }
 
 // A peer that has dropped a customer counts from 0 again. Its lower totals must not be taken for usage given back.
-func TestPeerCountResetLowersUsage(t *testing.T) {
+func TestPeerCountResetDoesNotLowerUsage(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(PeerMessage{From: 1, Text: testMessage(1, 1, testEntry("x", 0, 0, 0, 0))})
 	h.handle(PeerMessage{From: 1, Text: testMessage(1, 2, testEntry("x", 0, 50, 50, 1))})
@@ -945,7 +948,7 @@
 
 // A client that the quota refuses is told when the quota has room for it. After a shorter time it would be refused
 // again, and with a longer one it would wait without need.
-func TestRetryAfterMismatchesBucket(t *testing.T) {
+func TestRetryAfterMatchesBucket(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Limits.MaxRetryAfter = time.Minute })
 	h.now += time.Minute
 	var actions []Action
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -33,7 +33,7 @@
 			fmt.Println("refuse", a.ID)
 		}
 	}
-	// Report how the attempt ended. Done says that its answer went to the client.
+	// Report how the attempt ended. RequestDone says that its answer went to the client.
 	g.Handle(now+20*time.Millisecond, decide.AttemptEnded{ID: "r1", Server: "10.0.0.1:80", Outcome: decide.OK,
 		Elapsed: 20 * time.Millisecond, RequestDone: true})
 	// Output: send r1 to 10.0.0.1:80
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -20,24 +20,23 @@
 	usedUnits  float64            // units of all requests sent to servers
 	refused    int                // number of requests refused
 	unitsByID  map[string]float64 // units of each request
-	answers    []AttemptEnded
-	loss       float64      // chance that a message is lost
-	down       map[int]bool // gateways that get no events
+	loss       float64            // chance that a message is lost
+	down       map[int]bool       // gateways that get no events
 }
 
 // delivery is an event that a gateway gets at a later time.
 type delivery struct {
-	at    time.Duration
-	to    int
-	ev    Event
-	drops bool
+	at time.Duration
+	to int
+	ev Event
 }
 
 // newGatewayFleet starts n gateways. edit may change their configuration; it may be nil.
 func newGatewayFleet(t *testing.T, n int, edit func(*Config)) *gatewayFleet {
 	t.Helper()
 	f := &gatewayFleet{t: t, cfg: testConfig(), rnd: rand.New(rand.NewSource(5)), now: time.Hour,
-		gateways: make([]*Gateway, n), messagesTo: make([]int, n), unitsByID: map[string]float64{}, loss: 0.05, down: map[int]bool{}}
+		gateways: make([]*Gateway, n), messagesTo: make([]int, n), unitsByID: map[string]float64{}, loss: 0.05,
+		down: map[int]bool{}}
 	f.cfg.Gateways = n
 	if edit != nil {
 		edit(&f.cfg)
@@ -78,8 +77,8 @@
 		case SendToPeer:
 			f.messagesTo[a.To]++
 			if f.rnd.Float64() >= f.loss && !f.down[a.To] {
-				late := time.Duration(2+f.rnd.Intn(16)) * ms
-				f.pending = append(f.pending, delivery{at: f.now + late, to: a.To, ev: PeerMessage{i, a.Text}})
+				delay := time.Duration(2+f.rnd.Intn(16)) * ms
+				f.pending = append(f.pending, delivery{at: f.now + delay, to: a.To, ev: PeerMessage{i, a.Text}})
 			}
 		case SetTimer:
 			f.pending = append(f.pending, delivery{at: a.At, to: i, ev: TimerFired{a.Token}})
@@ -121,9 +120,9 @@
 
 // While traffic shifts between gateways, all of them together must admit no more than about rate and burst, in small and
 // in large fleets. Of what is within the quota they must admit most.
-func TestFleetExceedsQuota(t *testing.T) {
+func TestQuotaHoldsOverTheFleet(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		for _, demand := range []float64{0.5, 4} { // demand, as a multiple of the rate
+		for _, demand := range []float64{0.5, 4} { // as a multiple of the rate
 			f := newGatewayFleet(t, n, nil)
 			f.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
 			const rate, units, seconds = 3.0, 2.0, 24.0
@@ -144,7 +143,7 @@
 
 // One customer asks for many times its quota at 300 gateways. Their messages to one another must stay within the message
 // rate limit of each.
-func TestPeerMessageRateLimitExceeded(t *testing.T) {
+func TestPeerMessageRateLimitHolds(t *testing.T) {
 	f := newGatewayFleet(t, 300, nil)
 	f.run(12*time.Second, 4*ms, "small", 2, func(int) int { return f.rnd.Intn(300) })
 	for i := range f.messagesTo {
@@ -159,7 +158,7 @@
 }
 
 // Restarts of most gateways must not make the sum over all gateways exceed the hard ceiling.
-func TestFleetExceedsHardCeiling(t *testing.T) {
+func TestHardCeilingHoldsOverTheFleet(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		f := newGatewayFleet(t, n, nil)
 		tokens, last, used := 60.0, f.now, 0.0
@@ -185,7 +184,7 @@
 
 // While both quota owners of a customer are down, each gateway has to decide by its own bucket and must not refuse most
 // requests.
-func TestTooManyRefusalsWithOwnersDown(t *testing.T) {
+func TestRequestsAreAdmittedWithOwnersDown(t *testing.T) {
 	f := newGatewayFleet(t, 300, nil)
 	key := hashKey("x")
 	for n := 0; n < ownersPerCustomer; n++ {
@@ -205,7 +204,7 @@
 
 // Messages that are malformed, name an unknown plan or come to a gateway that is not the owner must change nothing. A
 // repeated query must not be charged twice.
-func TestBadOwnerMessageAccepted(t *testing.T) {
+func TestBadOwnerMessageIsRejected(t *testing.T) {
 	f := newGatewayFleet(t, 300, nil)
 	key := hashKey("x")
 	owner := f.gateways[f.gateways[0].owner(key, 0)]
@@ -236,7 +235,7 @@
 // A quota owner enforces the limit on attempts in flight over all gateways. The report of an attempt's end frees one
 // slot, also when it comes twice. If the report is lost, the slot becomes free when the attempt must have ended. An
 // owner that restarts has lost its count and begins at 0.
-func TestOwnerMiscountsOpenAttempts(t *testing.T) {
+func TestOwnerCountsAttemptsInFlight(t *testing.T) {
 	f := newGatewayFleet(t, 300, nil)
 	key := hashKey("x")
 	rank := f.gateways[0].owner(key, 0)
@@ -279,7 +278,7 @@
 }
 
 // While both quota owners are silent, a request must still be answered before its client gives up.
-func TestNoAnswerWithSilentOwners(t *testing.T) {
+func TestRequestIsAnsweredInTimeWithSilentOwners(t *testing.T) {
 	g := newGatewayFleet(t, 300, nil).gateways[4]
 	until := time.Hour + 30*ms
 	actions := g.Handle(time.Hour, Request{ID: "q", Class: "get", Plan: "small", Customer: "x", Units: 2,
@@ -297,7 +296,7 @@
 
 // When peers report that most answers are missed, a gateway has to admit fewer requests before it meets the overload
 // itself. When they report answers again, it has to admit more.
-func TestPeerReportsOfMissedAnswersIgnored(t *testing.T) {
+func TestPeerReportsOfMissedAnswersLowerAdmission(t *testing.T) {
 	f := newGatewayFleet(t, 300, nil)
 	g := f.gateways[3]
 	report := func(missed bool, n int) {
@@ -329,7 +328,7 @@
 
 // When observations show that a server leaves one class of requests unanswered, the gateway must send it the other
 // classes only.
-func TestServerFailingOneClassStillReceivesIt(t *testing.T) {
+func TestServerFailingOneClassDoesNotReceiveIt(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := 0; i < 8; i++ {
 		h.g.observe(h.g.servers["s1"], h.g.classes["pay"], 5, true, false)
@@ -348,6 +347,8 @@
 	}
 }
 
+// BenchmarkHandle measures one request with its owner query, the owner's response and the answer, in a fleet of 500
+// gateways and 100 servers.
 func BenchmarkHandle(b *testing.B) {
 	cfg := testConfig()
 	cfg.Gateways = 500
--- a/decide/fuzz_test.go
+++ b/decide/fuzz_test.go
@@ -86,6 +86,8 @@
 	requestCount int
 }
 
+// newHost returns a host whose configuration depends on the first byte of the script. Its gateway gets a
+// first list of eight servers, some of which may be draining or removed.
 func newHost(t *testing.T, b []byte) *host {
 	h := &host{t: t, cfg: testConfig(), script: script(b[:min(len(b), maxScriptBytes)]), now: time.Hour,
 		listed: map[string]Server{}, requests: map[string]*hostRequest{}}
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -7,8 +7,9 @@
 	"unicode/utf8"
 )
 
-// The file with all decisions has to stay short enough to be read aloud: 1200 lines that are not blank, of 110 columns.
-func TestEngineSourceTooLong(t *testing.T) {
+// The file with all decisions has to stay short enough to be read aloud: at most 1200 lines that
+// are not blank, of at most 110 columns.
+func TestEngineSourceStaysShort(t *testing.T) {
 	text, err := os.ReadFile("decide.go")
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +30,7 @@
 
 // When servers are overloaded and every request is overdue, only a few requests may get a second attempt. More of them
 // would load the servers further, and then even more requests would be overdue.
-func TestTooManySecondAttemptsUnderOverload(t *testing.T) {
+func TestSecondAttemptsAreLimitedUnderOverload(t *testing.T) {
 	const requests = 400
 	h := newHarness(t, func(c *Config) { c.Limits.Parallel = true })
 	second := 0
@@ -38,8 +39,8 @@
 		sends := actionsOf[Send](actions)
 		h.now += 200 * ms
 		for _, timer := range actionsOf[SetTimer](actions) {
-			if again := actionsOf[Send](h.handle(TimerFired{timer.Token})); len(again) > 0 {
-				sends = append(sends, again...)
+			if repeats := actionsOf[Send](h.handle(TimerFired{timer.Token})); len(repeats) > 0 {
+				sends = append(sends, repeats...)
 				second++
 			}
 		}
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -26,9 +26,9 @@
 
 // A gateway that takes many entries in one update must end up with the same servers, order and random choices as one
 // that gets each entry in an update of its own. This also holds where an entry comes twice or is of a removed server.
-func TestBulkUpdateDiffersFromSingleUpdates(t *testing.T) {
+func TestBulkUpdateEqualsSingleUpdates(t *testing.T) {
 	now := time.Hour
-	again := func(list []Server, edit func(*Server)) []Server {
+	withDuplicates := func(list []Server, edit func(*Server)) []Server {
 		for i := range len(list) / 3 {
 			s := list[3*i]
 			edit(&s)
@@ -50,15 +50,18 @@
 			slices.SortFunc(l, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
 			return l
 		}},
-		{"twice", 50, func(l []Server) []Server { return again(l, func(*Server) {}) }},
+		{"twice", 50, func(l []Server) []Server { return withDuplicates(l, func(*Server) {}) }},
 		{"twice, cold later", 50, func(l []Server) []Server {
-			return again(l, func(s *Server) { s.Started = now })
+			return withDuplicates(l, func(s *Server) { s.Started = now })
 		}},
-		{"twice, other cell", 0, func(l []Server) []Server { return again(l, func(s *Server) { s.Cell = 9 }) }},
+		{"twice, other cell", 0, func(l []Server) []Server { return withDuplicates(l, func(s *Server) { s.Cell = 9 }) }},
 		{"twice, draining", 50, func(l []Server) []Server {
-			return again(l, func(s *Server) { s.State = Draining })
+			return withDuplicates(l, func(s *Server) { s.State = Draining })
+		}},
+		{"twice, removed", 50, func(l []Server) []Server {
+			return withDuplicates(l,
+				func(s *Server) { s.State = Removed })
 		}},
-		{"twice, gone", 50, func(l []Server) []Server { return again(l, func(s *Server) { s.State = Removed }) }},
 	} {
 		rnd := rand.New(rand.NewSource(3))
 		all := shuffledList(rnd, 200, now)
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -74,6 +74,7 @@
 	notYetSeen          []referenceSend
 }
 
+// referenceSend is a request that the reference policy sent and does not see yet.
 type referenceSend struct {
 	at    time.Duration
 	units float64
@@ -100,6 +101,7 @@
 	do       func()
 }
 
+// simEventQueue is a heap of events, the earliest first.
 type simEventQueue []simEvent
 
 func (q simEventQueue) Len() int { return len(q) }
@@ -253,7 +255,8 @@
 // runQuotaSimulation simulates 40 s of a fleet of n gateways.
 func runQuotaSimulation(t *testing.T, n int, seed int64) *quotaSimulation {
 	s := &quotaSimulation{t: t, rnd: rand.New(rand.NewSource(seed)), cfg: testConfig(), now: time.Hour,
-		gateways: make([]*Gateway, n), incarnations: make([]int, n), messagesReceived: make([]int, n), onSend: map[string]func(){}}
+		gateways: make([]*Gateway, n), incarnations: make([]int, n), messagesReceived: make([]int, n),
+		onSend: map[string]func(){}}
 	s.cfg.Gateways, s.cfg.PeerIntake = n, 100
 	s.cfg.Plans = []Plan{{Name: "small", Rate: 2, Burst: 17.2, Price: 1.2, OverCost: 1.2},
 		{Name: "large", Rate: 13, Burst: 32, Price: 1.6, OverCost: 1.2, CeilingRate: 27, CeilingBurst: 67,
@@ -300,7 +303,7 @@
 
 // Checks the requirement on quotas, for a few gateways in broadcast mode and for fleets in which quota owners keep the
 // quotas. The gateways must not meet it by refusing what is within the quota.
-func TestExcessBeyondQuotaCostsTooMuch(t *testing.T) {
+func TestExcessCostIsLimited(t *testing.T) {
 	for _, n := range []int{4, 80, 300} {
 		var costs []float64
 		for seed := range int64(2) {
@@ -315,7 +318,8 @@
 					engine, maxExcessCost)
 			}
 			if s.engine.withinQuota < 0.75*s.offered {
-				t.Errorf("%d gateways, seed %d: admitted within quota %.3f of the worth offered, want 0.75 or more", n, seed+1,
+				t.Errorf("%d gateways, seed %d: admitted within quota %.3f of the worth offered, want 0.75 or more", n,
+					seed+1,
 					s.engine.withinQuota/s.offered)
 			}
 			if unlimited < reference+3*maxExcessCost {
@@ -329,7 +333,7 @@
 
 // A settlement that comes twice must count once. An owner must apply the plan that the latest query names, whatever plan
 // earlier messages named.
-func TestDuplicateSettlementOrPlanChangeMishandled(t *testing.T) {
+func TestSettlementCountsOnceAndLatestPlanApplies(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways, cfg.PeerIntake, cfg.Limits.Peers = 300, 100, true
 	g, err := New(cfg, 1)
@@ -340,7 +344,8 @@
 	plan := len(cfg.Plans) - 1
 	send := func(kind byte, plan int, no uint64, v float64) {
 		g.Handle(time.Second, PeerMessage{From: 7,
-			Text: ownerMessage{kind: kind, key: key, plan: plan, queryNo: no, valueCount: 1, values: [4]float64{v}}.text()})
+			Text: ownerMessage{kind: kind, key: key, plan: plan, queryNo: no, valueCount: 1,
+				values: [4]float64{v}}.text()})
 	}
 	send('a', 0, 7, 1)
 	c := g.customers[key]
--- a/decide/ramp_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -94,12 +94,14 @@
 	ended                         []bool        // by attempt
 }
 
+// rampEvent is a function that runs at a time. Events of the same time run in the order of sequence.
 type rampEvent struct {
 	at       time.Duration
 	sequence int
 	do       func()
 }
 
+// rampEventQueue is a heap of events, the earliest first.
 type rampEventQueue []rampEvent
 
 func (q rampEventQueue) Len() int { return len(q) }
@@ -436,7 +438,7 @@
 
 // In fleets of any size and under any disturbance, starting servers must get less work than makes them fall over, but a
 // useful share. The share relates to the capacity that they have at the time, and to the load of warm servers.
-func TestStartingServersOverloadedOrStarved(t *testing.T) {
+func TestStartingServersGetUsefulShareWithoutOverload(t *testing.T) {
 	const sec = time.Second
 	scenarios := []rampScenario{
 		{name: "no disturbance", starting: 2, minShare: 0.25},
@@ -480,7 +482,7 @@
 
 // A server drains during some seconds of its slow start, so that gateways can send it nothing. If each gateway kept one
 // slow-start token until the server serves again, all of them together would send it more than it can take at once.
-func TestSlowStartTokensHoarded(t *testing.T) {
+func TestSlowStartTokensAreNotHoarded(t *testing.T) {
 	const servers, requestsPerSecond, drainTime = 12, 300, 6 * time.Second
 	for _, n := range []int{2, 6, 20, 30, 80, 300} {
 		cfg := testConfig()
@@ -529,7 +531,7 @@
 
 // The rate of requests to a cold server follows from the answers of warm ones. It must not grow by attempts that
 // reached no server or were not answered successfully, nor by answers that a server gave before it restarted.
-func TestColdRateCountsFailedAttempts(t *testing.T) {
+func TestColdRateCountsOnlySuccessfulAnswers(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		outcome Outcome
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -7,8 +7,8 @@
 
 // The wall clocks of machines may be off by seconds or by an hour. When the gateway observes that a server is new or has
 // restarted, slow start must last as long as the settings say, whatever start time the list names.
-func TestClockOffsetChangesSlowStart(t *testing.T) {
-	const late = 500 * ms // between the start and the update that reports it
+func TestSlowStartIgnoresClockOffset(t *testing.T) {
+	const updateDelay = 500 * ms // between the start and the update that reports it
 	offsets := map[string]time.Duration{"right": 0, "10 s behind": -10 * time.Second, "10 s ahead": 10 * time.Second,
 		"an hour behind": -time.Hour, "an hour ahead": time.Hour}
 	for name, offset := range offsets {
@@ -17,9 +17,9 @@
 				Server{ID: "s2", Zone: "a"})
 			h.now += time.Minute
 			h.handle(FleetUpdate{Kind: FleetDelta,
-				Servers: []Server{{ID: id, Zone: "a", Started: h.now - late + offset}}})
+				Servers: []Server{{ID: id, Zone: "a", Started: h.now - updateDelay + offset}}})
 			s := h.g.servers[id]
-			if left, want := s.coldUntil-h.now, h.g.cfg.Safety.ColdFor; left < want-late || left > want {
+			if left, want := s.coldUntil-h.now, h.g.cfg.Safety.ColdFor; left < want-updateDelay || left > want {
 				t.Errorf("%s server, clock %s: in slow start for %v, want %v", what, name, left, want)
 			}
 			h.handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{s.Server}})
@@ -32,7 +32,7 @@
 
 // In the first list that a process gets, only the start time tells how long a server has been running. The age of a
 // server is computed from it and must be limited to between 0 and the length of slow start.
-func TestFirstListMisjudgesServerAge(t *testing.T) {
+func TestFirstListBoundsServerAge(t *testing.T) {
 	const coldFor = 10 * time.Second
 	for name, tc := range map[string]struct{ ago, left time.Duration }{
 		"1 s ago":                  {time.Second, coldFor - time.Second},
@@ -56,7 +56,7 @@
 }
 
 // A server that appears at another address has moved, so its process has just started.
-func TestMovedServerSkipsSlowStart(t *testing.T) {
+func TestMovedServerEntersSlowStart(t *testing.T) {
 	h := newHarness(t, nil, Server{ID: "s1", Zone: "a", Address: "10.0.0.1:1", Started: time.Minute},
 		Server{ID: "s2", Zone: "a"})
 	same := Server{ID: "s1", Zone: "a", Address: "10.0.0.1:1", Started: time.Minute}
--- a/decide/state.go
+++ b/decide/state.go
@@ -370,7 +370,8 @@
 	if !g.broadcasts {
 		c.sharedLevel = initialLevel * p.Burst
 	}
-	c.bucketLevel = c.share * initialLevel * p.Burst // it leaks, and ceiling tokens accrue, since the start of the gateway
+	// The bucket leaks, and ceiling tokens accrue, since the start of the gateway.
+	c.bucketLevel = c.share * initialLevel * p.Burst
 	g.customers[key] = c
 	g.evictionQueue = append(g.evictionQueue, c)
 	return c
--- a/internal/faultsoak/behaviour.go
+++ b/internal/faultsoak/behaviour.go
@@ -12,6 +12,7 @@
 	act    func(c *clients, gateway int)
 }
 
+// behaviours lists the patterns that traffic draws from.
 var behaviours = []behaviour{
 	{"usual", 100, singleRequestClient},
 	{"pipeline", 3, pipelineClient},
@@ -152,7 +153,8 @@
 		gotError, lastAnswer := cc.gotProtocolError, cc.lastAnswer
 		cc.mu.Unlock()
 		if late := Now().Sub(max(begun, lastAnswer)); !gotError && late > timeout+socketSlack+maxSchedulingDelay && cc.allAnswered() {
-			cc.clients.oracle.recordViolation(RuleBadClient, "gateway %d sent a misbehaving client no error and did not close its connection for %v", cc.gateway, late)
+			cc.clients.oracle.recordViolation(RuleBadClient,
+				"gateway %d sent a misbehaving client no error and did not close its connection for %v", cc.gateway, late)
 			return
 		}
 		if gotError {
@@ -216,9 +218,10 @@
 	if err != nil {
 		return
 	}
-	cc.slow = true
+	cc.slowReader = true
 	cc.start()
-	pause := time.Duration(c.rng.intN(2)*c.rng.intN(60)) * time.Millisecond // half of the clients, or more, send all requests without a pause
+	// Half of the clients send all requests without a pause.
+	pause := time.Duration(c.rng.intN(2)*c.rng.intN(60)) * time.Millisecond
 	for range 40 + c.rng.intN(24) {
 		r, command := c.newRequest(gateway, ClassSafe, ",size=60000", "")
 		r.SlowReader = true
@@ -231,8 +234,8 @@
 	cc.disconnect(false)
 }
 
-// traffic starts client behaviours against one gateway at a mean rate, with exponentially distributed gaps, until the given
-// time. The behaviours are drawn by weight.
+// traffic starts client behaviours against one gateway at a mean rate, with exponentially distributed gaps, until the
+// given time. The behaviours are drawn by weight.
 func (c *clients) traffic(gateway int, rate float64, until time.Time) {
 	total := 0
 	for _, b := range behaviours {
--- a/internal/faultsoak/cardserver.go
+++ b/internal/faultsoak/cardserver.go
@@ -35,9 +35,9 @@
 type ServerConfig struct {
 	ID        string
 	Listen    string
-	Life      int // number of the server's process; each restart increments it
-	ServiceMS int // mean service time of a request
-	Workers   int
+	Life      int // number of the server's process, starting at 0; each restart increments it
+	ServiceMS int // mean service time of a request, in milliseconds
+	Workers   int // number of requests processed concurrently
 }
 
 // ServerCommand changes the behaviour of a running card server. Empty fields change nothing.
@@ -46,16 +46,16 @@
 	CloseIdle bool       `json:"close_idle,omitempty"`
 }
 
-// cardServer is a stand-in for a card server. It is written from the protocol specification, independently of the gateway.
+// cardServer is a stand-in for a card server, written from the protocol specification.
 type cardServer struct {
 	cfg      ServerConfig
 	reporter *reporter
-	slots    chan struct{}
+	slots    chan struct{} // holds one element for each busy worker
 	attempts atomic.Uint64
 	mu       sync.Mutex
 	mode     ServerMode
-	changed  chan struct{} // closed when the mode changes
-	idle     map[net.Conn]bool
+	changed  chan struct{}     // closed when the mode changes
+	idle     map[net.Conn]bool // all connections; true while no request runs on them
 }
 
 // RunServer runs a card server until the command input ends.
@@ -72,6 +72,7 @@
 	return nil
 }
 
+// command applies a command of the soak test.
 func (s *cardServer) command(c ServerCommand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,6 +97,7 @@
 	return s.mode, s.changed
 }
 
+// accept serves each accepted connection in a goroutine of its own.
 func (s *cardServer) accept(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -128,6 +130,7 @@
 	s.idle[conn] = idle
 }
 
+// serve handles the commands on a connection one after the other until the connection ends.
 func (s *cardServer) serve(conn net.Conn) {
 	defer func() {
 		s.mu.Lock()
@@ -163,7 +166,7 @@
 	attempt, request := s.attempts.Add(1), string(cmd.Args[2])
 	list := parseList(string(cmd.Args[3]))
 	remainingMS, _ := strconv.ParseFloat(list["d"], 64)
-	s.reporter.report(Event{Type: EventArrival, Server: s.cfg.ID, Incarnation: s.cfg.Life, Attempt: attempt, Request: request, First: first, LeftMS: remainingMS})
+	s.reporter.report(Event{Type: EventArrival, Server: s.cfg.ID, Incarnation: s.cfg.Life, Attempt: attempt, Request: request, First: first, RemainingMS: remainingMS})
 	outcome := Event{Type: EventAttemptEnd, Server: s.cfg.ID, Incarnation: s.cfg.Life, Attempt: attempt, Request: request}
 	mode, changed := s.currentMode()
 	for mode == ModeHang {
@@ -233,8 +236,8 @@
 
 var errMalformedReply = fmt.Errorf("malformed reply")
 
-// parseReply parses the first reply of a gateway in b: its first line and, for a bulk string, the value. used is the reply's
-// length in bytes, or 0 if b does not yet hold a complete reply.
+// parseReply parses the first reply of a gateway in b: its first line and, for a bulk string, the value. used is the
+// reply's length in bytes, or 0 if b does not yet hold a complete reply.
 func parseReply(b []byte) (text string, value []byte, used int, err error) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
--- a/internal/faultsoak/client.go
+++ b/internal/faultsoak/client.go
@@ -17,9 +17,10 @@
 
 const (
 	clientDialTimeout = 500 * time.Millisecond
-	// If a gateway closes a connection less than this after a request was sent, with no answer pending before that request,
-	// the gateway may have closed before it read the request. The client then sends the request once more.
-	closeRaceWindow          = 100 * time.Millisecond
+	// If a gateway closes a connection less than this after a request was sent, with no answer pending before that
+	// request, the gateway may have closed before it read the request. The client then sends the request once more.
+	closeRaceWindow = 100 * time.Millisecond
+	// A client that violates the protocol has to receive an error or a closed connection within this time.
 	misbehavingClientTimeout = 3 * time.Second
 	// A slow reader reads at most its receive buffer, some KB, per interval: hundreds of KB per second.
 	slowReadPause = 20 * time.Millisecond
@@ -27,16 +28,16 @@
 
 // clients sends the requests of one run and holds the pool of idle connections.
 type clients struct {
-	oracle  *oracle
-	profile Profile
-	addrs   []string // by gateway
-	rng     *lockedRand
-	nextID  atomic.Uint64
-	opened  atomic.Int64
-	tasks   sync.WaitGroup
-	mu      sync.Mutex
-	idle    [][]*clientConn // by gateway
-	usable  []bool          // by gateway: whether the load balancer sends new connections to it
+	oracle    *oracle
+	profile   Profile
+	addrs     []string // by gateway
+	rng       *lockedRand
+	nextID    atomic.Uint64
+	openConns atomic.Int64
+	tasks     sync.WaitGroup
+	mu        sync.Mutex
+	idle      [][]*clientConn // by gateway
+	usable    []bool          // by gateway: whether the load balancer sends new connections to it
 }
 
 // lockedRand is a random number generator that is safe for concurrent use.
@@ -67,7 +68,7 @@
 	clients          *clients
 	gateway          int
 	conn             *net.TCPConn
-	slow             bool // reads its answers slowly
+	slowReader       bool // reads its answers slowly
 	misbehaving      bool // violates the protocol
 	mu               sync.Mutex
 	pending          []*Request // unanswered commands in order; nil stands for a command that is not a request
@@ -75,7 +76,7 @@
 	closedByClient   bool
 	closedByGateway  bool // the gateway closed or reset the connection
 	gotProtocolError bool // it received an error line about the protocol
-	opened           Moment
+	connOpened       Moment
 	ended            chan struct{}
 }
 
@@ -83,8 +84,8 @@
 	return c.dialWith(gateway, net.Dialer{Timeout: clientDialTimeout})
 }
 
-// smallReceiveBufferDialer returns a dialer that requests a receive buffer of 4 KiB for its connections. The size has to be
-// set before the connection is established, because the window is negotiated then.
+// smallReceiveBufferDialer returns a dialer that requests a receive buffer of 4 KiB for its connections. The size has
+// to be set before the connection is established, because the window is negotiated then.
 func smallReceiveBufferDialer() net.Dialer {
 	return net.Dialer{Timeout: clientDialTimeout, Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
@@ -106,23 +107,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("connecting to gateway %d: %w", gateway, err)
 	}
-	c.opened.Add(1)
-	return &clientConn{clients: c, gateway: gateway, conn: conn.(*net.TCPConn), opened: Now(), ended: make(chan struct{})}, nil
+	c.openConns.Add(1)
+	return &clientConn{clients: c, gateway: gateway, conn: conn.(*net.TCPConn), connOpened: Now(), ended: make(chan struct{})}, nil
 }
 
 // start begins reading answers in the background.
 func (cc *clientConn) start() {
 	cc.clients.tasks.Go(func() {
-		defer cc.clients.opened.Add(-1)
+		defer cc.clients.openConns.Add(-1)
 		cc.read()
 	})
 }
 
-// newRequest creates a request and encodes its command. extra is appended to the command's list argument, as ",name=value".
+// newRequest creates a request and encodes its command. extra is appended to the command's list argument, as
+// ",name=value".
 func (c *clients) newRequest(gateway int, class string, extra string, body string) (*Request, []byte) {
 	id := fmt.Sprintf("r%d", c.nextID.Add(1))
-	// Clients measure the time including transport, so the shortest deadlines are well above the scheduling pauses of the
-	// machine.
+	// Clients measure the time including transport, so the shortest deadlines are well above the scheduling pauses of
+	// the machine.
 	deadline := c.rng.between(c.profile.Deadline/3, c.profile.Deadline)
 	r := &Request{ID: id, Class: class, Gateway: gateway, Deadline: deadline}
 	list := fmt.Sprintf("c=%s,t=basic,d=%d,units=1,spread=%d,first=0%s", class, deadline.Milliseconds(), c.profile.Gateways, extra)
@@ -140,6 +142,7 @@
 	return r, appendCommand(nil, args...)
 }
 
+// appendCommand appends a command, encoded as a RESP array of bulk strings.
 func appendCommand(b []byte, args ...string) []byte {
 	b = redcon.AppendArray(b, len(args))
 	for _, arg := range args {
@@ -167,7 +170,7 @@
 	cc.mu.Unlock()
 	for _, r := range pending {
 		if r != nil {
-			r.Misbehaving, r.ConnOpened = r.Misbehaving || cc.misbehaving, cc.opened
+			r.Misbehaving, r.ConnOpened = r.Misbehaving || cc.misbehaving, cc.connOpened
 			cc.clients.oracle.addRequest(r)
 		}
 	}
@@ -176,7 +179,8 @@
 	cc.clients.oracle.withLock(func() {
 		for _, r := range pending {
 			if r != nil && err == nil {
-				r.Sent = before // the time before the first byte, so that the gateway may not count the deadline from a later time
+				// The deadline counts from the first byte. A gateway that counts it from a later time is not excused.
+				r.Sent = before
 			}
 		}
 	})
@@ -208,7 +212,7 @@
 			cc.connectionEnded()
 			return
 		}
-		if cc.slow {
+		if cc.slowReader {
 			time.Sleep(slowReadPause)
 		}
 	}
@@ -261,7 +265,9 @@
 			if r == nil {
 				continue
 			}
-			if first { // if the first pending request was sent earlier than the window, the gateway has read it and is reading those behind it
+			// If the first pending request was sent before the window, the gateway was reading from this connection. It
+			// has then received the requests behind the first one too.
+			if first {
 				raced, first = r.Sent != 0 && now.Sub(r.Sent) < closeRaceWindow, false
 			}
 			r.ConnEnded, r.RacedClose = now, raced
@@ -301,8 +307,8 @@
 	return len(cc.pending) == 0
 }
 
-// awaitAnswers waits until all commands are answered or the connection has ended, and reports whether that happened within
-// the timeout.
+// awaitAnswers waits until all commands are answered or the connection has ended, and reports whether that happened
+// within the timeout.
 func (cc *clientConn) awaitAnswers(timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		if cc.allAnswered() {
@@ -346,7 +352,7 @@
 	c.idle[cc.gateway] = append(c.idle[cc.gateway], cc)
 }
 
-// answerTimeout is how long a client waits for its answers. The oracle treats an answer that comes later as missing.
+// answerTimeout is how long a client waits for its answers. An answer that has not come by then counts as missing.
 func (c *clients) answerTimeout() time.Duration { return c.profile.Deadline + 3*time.Second }
 
 // exp draws from the exponential distribution with mean 1.
--- a/internal/faultsoak/discovery.go
+++ b/internal/faultsoak/discovery.go
@@ -64,7 +64,7 @@
 	version    uint64
 	entries    map[string]Entry
 	versions   map[string]uint64
-	changed    chan struct{} // closed whenever the list or the mode changes
+	changed    chan struct{} // closed at each command, which may change the list or the mode
 	watchEpoch int           // long polls that began in an earlier epoch are never answered
 }
 
@@ -93,6 +93,7 @@
 	return nil
 }
 
+// command applies a command of the soak test, and wakes all waiting calls.
 func (d *discovery) command(c DiscoveryCommand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,8 +114,9 @@
 	d.changed = make(chan struct{})
 }
 
-// awaitList waits for the list that answers a call: the full list if the call names no version, else the first change after
-// that version, or an empty list once the wait is over. ok is false if the call has to stay unanswered or was cancelled.
+// awaitList waits for the list that answers a call: the full list if the call names no version, else the first change
+// after that version, or an empty list once the wait is over. ok is false if the call has to stay unanswered or was
+// cancelled.
 func (d *discovery) awaitList(ctx context.Context, after uint64, hasAfter bool, wait time.Duration) (list List, mode DiscoveryMode, ok bool) {
 	timeout := time.After(wait)
 	d.mu.Lock()
@@ -162,6 +164,7 @@
 	return l
 }
 
+// serve answers a call as the mode demands, and reports each entry sent to the gateway.
 func (d *discovery) serve(gateway int, w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
--- a/internal/faultsoak/event.go
+++ b/internal/faultsoak/event.go
@@ -1,7 +1,7 @@
-// Package faultsoak is a soak test. It runs a fleet of real gateway processes on loopback addresses and injects random faults
-// that overlap in time. The card servers, discovery and the fault proxy are stand-ins, each a process of its own. After the run
-// an oracle checks what clients and card servers observed against the rules of the protocol. A seed determines the random
-// source of a run; timing depends on the machine.
+// Package faultsoak is a soak test. It runs a fleet of real gateway processes on loopback addresses and injects random
+// faults that overlap in time. The card servers, discovery and the fault proxy are stand-ins, each a process of its
+// own. After the run an oracle checks what clients and card servers observed against the rules of the protocol. The
+// same seed yields the same random numbers and so the same scenario, but timing depends on the machine.
 package faultsoak
 
 import (
@@ -40,7 +40,7 @@
 const (
 	EventReady      EventType = "ready"    // a process is ready to serve
 	EventArrival    EventType = "arrival"  // a card server has received a complete command
-	EventAttemptEnd EventType = "verdict"  // a card server has finished an attempt: it wrote its answer, or the connection ended first
+	EventAttemptEnd EventType = "verdict"  // a card server has answered an attempt, or its connection ended first
 	EventNotified   EventType = "notified" // discovery has sent an entry to a gateway
 	EventQueried    EventType = "asked"    // a gateway has called discovery
 )
@@ -55,7 +55,7 @@
 	Attempt     uint64    `json:"attempt,omitempty"` // links EventArrival to its EventAttemptEnd; unique within a process
 	Request     string    `json:"request,omitempty"`
 	First       Moment    `json:"first,omitempty"`   // when the first byte of the command had arrived
-	LeftMS      float64   `json:"left_ms,omitempty"` // the remaining time stated in the command
+	RemainingMS float64   `json:"left_ms,omitempty"` // the remaining time stated in the command
 	NeverRan    bool      `json:"never_ran,omitempty"`
 	State       string    `json:"state,omitempty"` // of the entry in EventNotified
 	StartedMS   int64     `json:"started_ms,omitempty"`
@@ -70,6 +70,7 @@
 
 func newReporter(w io.Writer) *reporter { return &reporter{out: json.NewEncoder(w)} }
 
+// report writes an event, at the current time unless the event states another.
 func (r *reporter) report(e Event) {
 	if e.At == 0 {
 		e.At = Now()
@@ -79,7 +80,8 @@
 	_ = r.out.Encode(e) // fails only after the parent has ended, when nothing reads the events
 }
 
-// readLines decodes each line of JSON as a T and passes it to handle until the input ends. It skips lines that do not decode.
+// readLines decodes each line of JSON as a T and passes it to handle until the input ends. It skips lines that do not
+// decode.
 func readLines[T any](r io.Reader, handle func(T)) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 64<<10), 4<<20)
--- a/internal/faultsoak/fleet.go
+++ b/internal/faultsoak/fleet.go
@@ -14,7 +14,7 @@
 	"winghatch/internal/platform"
 )
 
-// Ports on the loopback addresses of a run. Each process has an address of its own, so the same port may be used twice.
+// Ports on the loopback addresses of a run. Gateways and proxy routes have different addresses, so they share a port.
 const (
 	gatewayPort   = 6379
 	peerPort      = 7946
@@ -24,11 +24,13 @@
 	metricsPort   = 9100
 )
 
+// After SIGTERM a gateway has the longest deadline of a request, counted as at most maxShutdownDeadline, plus
+// shutdownMargin before it is killed with SIGKILL.
 const (
 	readyTimeout             = 30 * time.Second // requirement: a gateway is ready within 30 s of its start
 	discoveryAddrsPerGateway = 4                // a new configuration moves a gateway to the next of these
 	minPipeBytes             = 4 << 10          // the smallest pipe that the kernel allows
-	maxShutdownDeadline      = 3 * time.Second  // SIGKILL follows SIGTERM after the longest deadline, at most this value, plus shutdownMargin
+	maxShutdownDeadline      = 3 * time.Second
 	shutdownMargin           = 700 * time.Millisecond
 )
 
@@ -48,7 +50,7 @@
 	number      int
 	mu          sync.Mutex
 	proc        *process
-	incarnation int
+	incarnation int           // number of its process, starting at 0
 	clockOffset time.Duration // how far its machine's wall clock is ahead
 	claimed     bool          // a fault scenario is using it
 }
@@ -65,15 +67,17 @@
 	discovery *process
 	proxy     *process
 	rng       *lockedRand
-	network   int // second byte of the run's loopback addresses
-	log       func(format string, args ...any)
+	network   int                              // second byte of the run's loopback addresses
+	log       func(format string, args ...any) // writes a line to the log of the run
 }
 
+// addr returns the loopback address of a process, from its role, its number within the role and a port.
 func (f *fleet) addr(role, number, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", f.network, role, number+1, port)
 }
 
-// Third bytes of the loopback addresses. Discovery uses one for each of a gateway's discovery addresses, from roleDiscovery on.
+// Third bytes of the loopback addresses. Discovery uses one for each of a gateway's discovery addresses, from
+// roleDiscovery on.
 const (
 	roleGateway = iota + 1
 	roleServer
@@ -81,6 +85,7 @@
 	roleDiscovery
 )
 
+// discoveryAddr returns one of the discovery addresses of a gateway.
 func (f *fleet) discoveryAddr(gateway, address int) string {
 	return f.addr(roleDiscovery+address, gateway, discoveryPort)
 }
@@ -121,6 +126,7 @@
 	}
 }
 
+// startServer starts the current incarnation of a card server.
 func (f *fleet) startServer(s *server) error {
 	cfg := ServerConfig{ID: s.entry.ID, Listen: f.addr(roleServer, s.number, serverPort), Life: s.incarnation, ServiceMS: f.options.ServiceMS,
 		Workers: f.options.Workers}
@@ -181,8 +187,8 @@
 	return nil
 }
 
-// restartServer kills a card server, waits for the given downtime and starts it again. The new process is in slow start, and
-// its entry in discovery carries the new start time, read from a wall clock that is clockOffset ahead.
+// restartServer kills a card server, waits for the given downtime and starts it again. The new process is in slow
+// start, and its entry in discovery carries the new start time, read from a wall clock that is clockOffset ahead.
 func (f *fleet) restartServer(s *server, downtime time.Duration, clockOffset time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,6 +207,7 @@
 	f.discovery.send(DiscoveryCommand{Change: []Entry{s.entry}})
 }
 
+// announceState sets the state of a card server in discovery's list.
 func (f *fleet) announceState(s *server, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faultsoak/gateway.go
+++ b/internal/faultsoak/gateway.go
@@ -25,8 +25,8 @@
 	number           int
 	mu               sync.Mutex
 	proc             *process
-	incarnation      int
-	discoveryAddress int // number of the discovery address in its configuration
+	incarnation      int // number of processes started so far
+	discoveryAddress int // number of the discovery address in its configuration file
 	logs             []string
 	unreadPipes      []*os.File // read ends of log pipes, kept open and never read
 }
@@ -54,6 +54,7 @@
 	return filepath.Join(f.dir, fmt.Sprintf("gateway%d.json", g.number))
 }
 
+// config builds the configuration file for a gateway's next process.
 func (f *fleet) config(g *gateway) []byte {
 	c := gatewayConfig{Name: fmt.Sprintf("n%d", g.number), Listen: f.addr(roleGateway, g.number, gatewayPort),
 		Discovery: f.discoveryAddr(g.number, g.discoveryAddress), Seed: fmt.Sprintf("%x", f.rng.intN(1<<30)),
@@ -104,7 +105,7 @@
 	g.incarnation++
 	g.mu.Unlock()
 	f.oracle.withLock(func() {
-		f.oracle.starts[g.number] = append(f.oracle.starts[g.number], gatewayStart{Now(), script.WallOffsetMS != 0})
+		f.oracle.gatewayStarts[g.number] = append(f.oracle.gatewayStarts[g.number], gatewayStart{Now(), script.WallOffsetMS != 0})
 	})
 	go f.watchGateway(g, p)
 	return nil
@@ -132,7 +133,8 @@
 	return w, nil
 }
 
-// watchGateway waits for a gateway's process to exit. It records an unexpected exit as a crash and restarts the gateway.
+// watchGateway waits for a gateway's process to exit. It records an unexpected exit as a crash and restarts the
+// gateway.
 func (f *fleet) watchGateway(g *gateway, p *process) {
 	began := Now()
 	<-p.ended
@@ -144,8 +146,8 @@
 	f.restartAfterExit(g, outage{begun: at, exemptBefore: at, outright: true})
 }
 
-// restartAfterExit starts a gateway again after its process has ended, waits until it is ready and records the outage. The new
-// process gets random injected faults and a random log mode.
+// restartAfterExit starts a gateway again after its process has ended, waits until it is ready and records the outage.
+// The new process gets random injected faults and a random log mode.
 func (f *fleet) restartAfterExit(g *gateway, down outage) {
 	script, logMode := f.startFaults(), f.logMode()
 	f.log("gateway %d restarts with faults %+v, log mode %s", g.number, script, logMode)
@@ -211,8 +213,8 @@
 	f.restartAfterExit(g, outage{begun: at, exemptBefore: Now(), outright: true})
 }
 
-// claimForStop returns a gateway's process for the caller to stop, and marks its exit as expected. It returns nil if the
-// process has exited or another caller is stopping it.
+// claimForStop returns a gateway's process for the caller to stop, and marks its exit as expected. It returns nil if
+// the process has exited or another caller is stopping it.
 func (f *fleet) claimForStop(g *gateway) *process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -225,8 +227,8 @@
 	return g.proc
 }
 
-// restartGateway performs a planned restart: it sends SIGTERM, lets new connections come for a while, and sends SIGKILL after
-// the grace period.
+// restartGateway performs a planned restart: it sends SIGTERM, lets new connections come for a while, and sends SIGKILL
+// after the grace period.
 func (f *fleet) restartGateway(g *gateway) {
 	p := f.claimForStop(g)
 	if p == nil {
@@ -254,8 +256,8 @@
 	f.restartAfterExit(g, outage{begun: at, exemptBefore: exemptBefore})
 }
 
-// pauseWhileStopping pauses a stopping gateway, for up to the longest delay that the specification allows, while the last new
-// connections arrive.
+// pauseWhileStopping pauses a stopping gateway, for up to the longest delay that the specification allows, while the
+// last new connections arrive.
 func (f *fleet) pauseWhileStopping(g *gateway, p *process) {
 	time.Sleep(f.rng.between(maxConnectionsAfterTerm-50*time.Millisecond, maxConnectionsAfterTerm-10*time.Millisecond))
 	p.signal(syscall.SIGSTOP)
@@ -275,8 +277,8 @@
 // violationsMetric is the counter of invariant violations that a gateway detected itself.
 const violationsMetric = "gateway_invariant_violations_total"
 
-// checkMetrics checks the violation counters of all running gateways. They are needed in addition to the logs, because some
-// logs go to pipes that nothing reads.
+// checkMetrics checks the violation counters of all running gateways. They are needed in addition to the logs, because
+// some logs go to pipes that nothing reads.
 func (f *fleet) checkMetrics() {
 	client := http.Client{Timeout: 2 * time.Second}
 	for _, g := range f.gateways {
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -14,24 +14,26 @@
 
 // The rules, each with the requirement of the protocol specification that it enforces.
 const (
-	// A gateway has accepted a request once the request's last byte is written to a connection that the gateway's machine
-	// accepted. A request that was read and whose connection is closed without an answer is lost.
+	// A gateway has accepted a request once the request's last byte is written to a connection that the gateway's
+	// machine accepted. A request that was read and whose connection is closed without an answer is lost.
 	RuleLost Rule = "lost"
 	// An answer up to 0.5 s after the deadline only earns nothing. With a later answer, or none, the request is lost.
 	RuleLate Rule = "late"
 	// A request is also lost if it is served with a value that no card server produced for it.
 	RuleWrongAnswer Rule = "wrong answer"
-	// Unsafe requests: a further attempt, or a BUSY answer, is permitted only if the outcome of each earlier attempt proves that
-	// it never executed. Keyed requests: a further attempt is also permitted to a card server of the same group within the
-	// deduplication window (WindowNs).
+	// Unsafe requests: a further attempt, or a BUSY answer, is permitted only if the outcome of each earlier attempt
+	// proves that it never executed. Keyed requests: a further attempt is also permitted to a card server of the same
+	// group within the deduplication window (WindowNs).
 	RuleRepeat Rule = "repeat"
-	// A BUSY answer is permitted only under the condition stated for RuleRepeat.
+	// Unsafe and keyed requests: a BUSY answer is permitted only under the condition that RuleRepeat states for it.
 	RuleRefusal Rule = "refusal"
-	// A gateway must not send an attempt to a card server later than DrainGraceNs after it was informed that the server drains.
+	// A gateway must not send an attempt to a card server later than DrainGraceNs after it was informed that the server
+	// drains.
 	RuleDrain Rule = "drain"
 	// No attempt, first or further, may begin more than 0.1 s after the client closed its connection.
 	RuleClientGone Rule = "client gone"
-	// The remaining time that an attempt states to its card server is at most the client's remaining time plus 0.15 s of slack.
+	// The remaining time that an attempt states to its card server is at most the client's remaining time plus 0.15 s
+	// of slack.
 	RuleDeadline Rule = "deadline"
 	// A card server in slow start fails if it receives more than N + 2*sqrt(N) + 2 requests in a window, or more than
 	// N + 3*sqrt(N) + 3 if N is below 30. judgeIncarnation computes N.
@@ -56,14 +58,16 @@
 const (
 	// The limits in the settings are those of the simulator. With real sockets the specification extends each by 50 ms.
 	socketSlack = 50 * time.Millisecond
-	// A gateway may be delayed by up to 0.15 s between reading its clock and writing to a socket. Deadlines and windows allow
-	// for that.
+	// A gateway may be delayed by up to 0.15 s between reading its clock and writing to a socket. Deadlines and windows
+	// allow for that.
 	maxSchedulingDelay = 150 * time.Millisecond
-	// Allowance for delays of the fault proxy and of this machine's scheduler, which are no part of the specification. proxy.go
-	// defines the pauses between fragments.
-	harnessSlack    = 40 * time.Millisecond
-	pauseSettleTime = 100 * time.Millisecond // after a pause, a card server needs this long to read the requests that had arrived meanwhile
+	// Allowance for delays of the fault proxy and of this machine's scheduler, which are no part of the specification.
+	// proxy.go defines the pauses between fragments.
+	harnessSlack = 40 * time.Millisecond
+	// After a pause, a card server needs up to this long to read the requests that had arrived meanwhile.
+	pauseSettleTime = 100 * time.Millisecond
 
+	// The allowances stated at RuleLate, RuleClientGone and RuleDeadline.
 	lateSlack       = 500 * time.Millisecond
 	clientGoneSlack = 100 * time.Millisecond
 	deadlineSlack   = 150 * time.Millisecond
@@ -93,7 +97,7 @@
 	Class          string
 	Gateway        int
 	Misbehaving    bool   // sent by a client that violates the protocol: it must be answered, but with any kind of answer
-	SlowReader     bool   // its client reads slowly but steadily, so the arrival time of the answer does not measure the gateway
+	SlowReader     bool   // its client reads slowly but steadily, so the time of the answer does not measure the gateway
 	ConnOpened     Moment // when its connection was established
 	Sent           Moment
 	Deadline       time.Duration
@@ -116,7 +120,7 @@
 type attemptKey struct {
 	server      string
 	incarnation int
-	no          uint64
+	number      uint64
 }
 
 // notification is an entry that discovery sent to a gateway.
@@ -141,10 +145,10 @@
 	requestsInOrder  []*Request
 	attempts         map[string][]*attempt // by request
 	byKey            map[attemptKey]*attempt
-	notified         map[int]map[string][]notification // by gateway and server
-	incarnations     map[string]map[int]serverIncarnation
-	outages          map[int][]outage
-	starts           map[int][]gatewayStart
+	notifications    map[int]map[string][]notification    // by gateway and server
+	incarnations     map[string]map[int]serverIncarnation // by server and number of the incarnation
+	outages          map[int][]outage                     // by gateway
+	gatewayStarts    map[int][]gatewayStart               // by gateway
 	reloads          []reload
 	pauses           map[string][]pause       // by server
 	discoveryQueries map[int][]discoveryQuery // by gateway
@@ -156,7 +160,9 @@
 type outage struct {
 	begun, ended Moment
 	exemptBefore Moment // unanswered requests sent up to this moment are exempt
-	outright     bool   // SIGKILL without notice: also exempts requests on connections established before, which the dead process cannot read
+	// SIGKILL without notice. This also exempts unanswered requests on connections established before, because the dead
+	// process cannot read them.
+	outright bool
 }
 
 // gatewayStart is the start of a gateway process.
@@ -165,8 +171,8 @@
 	clockOff bool // its machine's wall clock is wrong
 }
 
-// pause is a period in which a card server's process was stopped. The arrival times of requests that it reads afterwards are
-// not known.
+// pause is a period in which a card server's process was stopped. The arrival times of requests that it reads
+// afterwards are not known.
 type pause struct{ begun, ended Moment }
 
 // reload is a SIGHUP after a change of the discovery address in a gateway's configuration.
@@ -184,8 +190,8 @@
 
 func newOracle(profile Profile) *oracle {
 	return &oracle{profile: profile, requests: map[string]*Request{}, attempts: map[string][]*attempt{},
-		byKey: map[attemptKey]*attempt{}, notified: map[int]map[string][]notification{}, incarnations: map[string]map[int]serverIncarnation{},
-		outages: map[int][]outage{}, starts: map[int][]gatewayStart{}, discoveryQueries: map[int][]discoveryQuery{}, pauses: map[string][]pause{}}
+		byKey: map[attemptKey]*attempt{}, notifications: map[int]map[string][]notification{}, incarnations: map[string]map[int]serverIncarnation{},
+		outages: map[int][]outage{}, gatewayStarts: map[int][]gatewayStart{}, discoveryQueries: map[int][]discoveryQuery{}, pauses: map[string][]pause{}}
 }
 
 // handleEvent records an event reported by a stand-in.
@@ -205,10 +211,10 @@
 	case EventQueried:
 		o.discoveryQueries[e.Gateway] = append(o.discoveryQueries[e.Gateway], discoveryQuery{e.Address, e.At})
 	case EventNotified:
-		if o.notified[e.Gateway] == nil {
-			o.notified[e.Gateway] = map[string][]notification{}
+		if o.notifications[e.Gateway] == nil {
+			o.notifications[e.Gateway] = map[string][]notification{}
 		}
-		o.notified[e.Gateway][e.Server] = append(o.notified[e.Gateway][e.Server], notification{e.At, e.State, e.StartedMS})
+		o.notifications[e.Gateway][e.Server] = append(o.notifications[e.Gateway][e.Server], notification{e.At, e.State, e.StartedMS})
 	}
 }
 
@@ -230,7 +236,7 @@
 	o.requestsInOrder = append(o.requestsInOrder, r)
 }
 
-// withLock runs do under the oracle's lock, for changes of requests and of the oracle's fields.
+// withLock runs update under the oracle's lock, for changes of requests and of the oracle's fields.
 func (o *oracle) withLock(update func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -268,7 +274,8 @@
 	excused := r.ClientGone != 0 || r.RacedClose || r.Sent == 0 || o.excusedByOutage(r)
 	switch {
 	case r.Kind == NoAnswer && r.SlowReader && !excused:
-		o.addViolation(RuleSlowClient, max(r.Sent, r.ConnEnded), "%s of gateway %d: a client that read steadily got no answer", r.ID, r.Gateway)
+		o.addViolation(RuleSlowClient, max(r.Sent, r.ConnEnded), "%s of gateway %d: a client that read steadily got no answer",
+			r.ID, r.Gateway)
 	case r.Kind == NoAnswer && r.ConnEnded != 0 && !excused:
 		o.addViolation(RuleLost, r.ConnEnded, "%s (%s) of gateway %d: the connection ended without an answer %v after the request was sent",
 			r.ID, r.Class, r.Gateway, r.ConnEnded.Sub(r.Sent))
@@ -301,16 +308,18 @@
 			continue // its arrival time is not known
 		}
 		if r.ClientGone != 0 && a.At > r.ClientGone.Add(clientGoneSlack+socketSlack+harnessSlack) {
-			o.addViolation(RuleClientGone, a.At, "%s (%s) of gateway %d: attempt at %s %v after the client closed its connection", r.ID, r.Class, r.Gateway,
-				a.Server, a.At.Sub(r.ClientGone))
+			o.addViolation(RuleClientGone, a.At, "%s (%s) of gateway %d: attempt at %s %v after the client closed its connection",
+				r.ID, r.Class, r.Gateway, a.Server, a.At.Sub(r.ClientGone))
 		}
 		if r.Answered != 0 && a.First > r.Answered.Add(socketSlack+harnessSlack) {
-			o.addViolation(RuleAfterAnswer, a.At, "%s (%s): attempt at %s %v after the request was answered", r.ID, r.Class, a.Server, a.First.Sub(r.Answered))
+			o.addViolation(RuleAfterAnswer, a.At, "%s (%s): attempt at %s %v after the request was answered", r.ID, r.Class, a.Server,
+				a.First.Sub(r.Answered))
 		}
 		left := r.Sent.Add(r.Deadline).Sub(a.At)
-		stated := time.Duration(a.LeftMS * float64(time.Millisecond))
+		stated := time.Duration(a.RemainingMS * float64(time.Millisecond))
 		if r.Sent != 0 && stated > left+deadlineSlack+socketSlack {
-			o.addViolation(RuleDeadline, a.At, "%s (%s) of gateway %d: attempt at %s stated %v of remaining time, but %v were left", r.ID, r.Class, r.Gateway, a.Server, stated, left)
+			o.addViolation(RuleDeadline, a.At, "%s (%s) of gateway %d: attempt at %s stated %v of remaining time, but %v were left",
+				r.ID, r.Class, r.Gateway, a.Server, stated, left)
 		}
 		o.judgeDrain(r, a)
 	}
@@ -333,20 +342,24 @@
 		switch {
 		case !mayHaveRun(e):
 		case r.Class == ClassUnsafe:
-			o.addViolation(RuleRepeat, a.At, "%s is unsafe and was sent to %s and %v later to %s", r.ID, e.Server, a.At.Sub(e.At), a.Server)
+			o.addViolation(RuleRepeat, a.At, "%s is unsafe and was sent to %s and %v later to %s",
+				r.ID, e.Server, a.At.Sub(e.At), a.Server)
 		case o.profile.Cells[e.Server] != o.profile.Cells[a.Server]:
-			o.addViolation(RuleRepeat, a.At, "%s may be repeated only in the cell of %s and was sent to %s", r.ID, e.Server, a.Server)
+			o.addViolation(RuleRepeat, a.At, "%s may be repeated only in the cell of %s and was sent to %s",
+				r.ID, e.Server, a.Server)
 		case a.At.Sub(e.At) > window && !o.paused(a):
-			o.addViolation(RuleRepeat, a.At, "%s may be repeated after its attempt at %s for %v and was sent again after %v", r.ID, e.Server, o.profile.DedupWindow, a.At.Sub(e.At))
+			o.addViolation(RuleRepeat, a.At, "%s was sent to %s, may be repeated for %v and was sent again after %v", r.ID, e.Server,
+				o.profile.DedupWindow, a.At.Sub(e.At))
 		}
 	}
 }
 
-// judgeDrain checks an attempt against the server's state in the last notification before the attempt's first byte arrived.
+// judgeDrain checks an attempt against the server's state in the last notification before the attempt's first byte
+// arrived.
 func (o *oracle) judgeDrain(r *Request, a *attempt) {
 	var state string
 	var since Moment
-	for _, n := range o.notified[r.Gateway][a.Server] {
+	for _, n := range o.notifications[r.Gateway][a.Server] {
 		if n.at > a.First {
 			break
 		}
@@ -358,7 +371,8 @@
 		return
 	}
 	if late := a.First.Sub(since); late > o.profile.DrainGrace+socketSlack+harnessSlack {
-		o.addViolation(RuleDrain, a.At, "%s of gateway %d was sent to %s %v after discovery reported the server as %s", r.ID, r.Gateway, a.Server, late, state)
+		o.addViolation(RuleDrain, a.At, "%s of gateway %d was sent to %s %v after discovery reported the server as %s",
+			r.ID, r.Gateway, a.Server, late, state)
 	}
 }
 
@@ -385,10 +399,10 @@
 	}
 }
 
-// judgeIncarnation checks one process of a card server. In slow start its capacity rises linearly from ColdFrom of ServerRate
-// to ServerRate within ColdFor. N is FallMultiple times the requests that it can serve in FallWindow at the capacity of the
-// moment. A window violates the rule if it holds more requests than the bound and more than two thirds of them came from
-// gateways that knew of the start.
+// judgeIncarnation checks one process of a card server. In slow start its capacity rises linearly from ColdFrom of
+// ServerRate to ServerRate within ColdFor. N is FallMultiple times the requests that it can serve in FallWindow at the
+// capacity of the moment. A window violates the rule if it holds more requests than the bound and more than two thirds
+// of them came from gateways that knew of the start.
 func (o *oracle) judgeIncarnation(server string, incarnation serverIncarnation, arrivals []*attempt) {
 	s := o.profile
 	for from, to := 0, 0; to < len(arrivals); to++ {
@@ -417,28 +431,29 @@
 			}
 		}
 		if received > bound && float64(informed) > received*2/3 {
-			o.addViolation(RuleSlowStart, arrivals[to].At, "%s received %.0f requests in %v, %v after its start, with a bound of %.1f (%d from gateways that knew of the start; by gateway: %d)",
+			o.addViolation(RuleSlowStart, arrivals[to].At,
+				"%s received %.0f requests in %v, %v after its start, with a bound of %.1f (%d from gateways that knew of the start; by gateway: %d)",
 				server, received, s.FallWindow, age, bound, informed, byGateway)
 			return
 		}
 	}
 }
 
-// knewOfStart returns 1 if the gateway of an attempt knew of its server's start, else 0. A gateway process that began after
-// the server's start sees no change of the list. Only the start time in its first list shows that the server has restarted, and
-// that is useless if one of the two wall clocks is wrong. Wall clocks may be stepped forward or back, by seconds or by an hour.
-// The specification does not grant this exemption explicitly; see docs/questions.md.
+// knewOfStart returns 1 if the gateway of an attempt knew of its server's start, else 0. A gateway process that began
+// after the server's start sees no change of the list. Only the start time in its first list shows that the server has
+// restarted, and that is useless if one of the two wall clocks is wrong. Wall clocks may be stepped forward or back, by
+// seconds or by an hour. The specification does not grant this exemption explicitly; see docs/questions.md.
 func (o *oracle) knewOfStart(a *attempt, server string, incarnation serverIncarnation) int {
 	r := o.requests[a.Request]
 	if r == nil {
 		return 0
 	}
-	for _, s := range o.starts[r.Gateway] {
+	for _, s := range o.gatewayStarts[r.Gateway] {
 		if s.at <= a.First && s.at > incarnation.begun && (s.clockOff || incarnation.clockOff) {
 			return 0
 		}
 	}
-	for _, n := range o.notified[r.Gateway][server] {
+	for _, n := range o.notifications[r.Gateway][server] {
 		if n.startedMS == incarnation.startedMS && n.at <= a.First {
 			return 1
 		}
@@ -446,9 +461,9 @@
 	return 0
 }
 
-// excusedByOutage reports whether a request without an answer is excused because its gateway was killed. That holds for a kill
-// without notice, which may happen at any time. It also holds for the SIGKILL that ends a planned restart, unless the request
-// was sent more than 0.7 s after SIGTERM.
+// excusedByOutage reports whether a request without an answer is excused because its gateway was killed. That holds for
+// a kill without notice, which may happen at any time. It also holds for the SIGKILL that ends a planned restart,
+// unless the request was sent more than 0.7 s after SIGTERM.
 func (o *oracle) excusedByOutage(r *Request) bool {
 	for _, down := range o.outages[r.Gateway] {
 		if r.Kind != NoAnswer || r.ConnEnded < down.begun {
@@ -461,7 +476,7 @@
 	return false
 }
 
-// reloadDue is the time after a reload within which a gateway has to call the new discovery address.
+// reloadTimeout is the time after a reload within which a gateway has to call the new discovery address.
 const reloadTimeout = 4 * time.Second
 
 // judgeReloads checks that after a reload gateways call discovery at the address in the new configuration.
@@ -475,7 +490,8 @@
 			return query.address == r.address && query.at >= r.at.Add(-time.Second) && query.at <= due
 		})
 		if !called {
-			o.addViolation(RuleReload, due, "gateway %d did not call discovery at address %d within %v of its reload", r.gateway, r.address, reloadTimeout)
+			o.addViolation(RuleReload, due, "gateway %d did not call discovery at address %d within %v of its reload",
+				r.gateway, r.address, reloadTimeout)
 		}
 	}
 }
--- a/internal/faultsoak/oracle_test.go
+++ b/internal/faultsoak/oracle_test.go
@@ -14,80 +14,82 @@
 		ColdFor: 10 * time.Second, FallMultiple: 2, FallWindow: time.Second, ServerRate: 30, Cells: map[string]int{"a": 0, "b": 1}}
 }
 
-// requestHistory builds the observations of one request that was sent at 1 s with a deadline of 1 s.
-type requestHistory struct {
+// history builds the observations of one request that was sent at 1 s with a deadline of 1 s.
+type history struct {
 	oracle   *oracle
 	request  *Request
 	attempts uint64
 }
 
-func newRequestHistory(class string) *requestHistory {
-	s := &requestHistory{oracle: newOracle(testProfile()), request: &Request{ID: "r", Class: class, Sent: 1000 * testMS, Deadline: time.Second}}
+func newHistory(class string) *history {
+	s := &history{oracle: newOracle(testProfile()), request: &Request{ID: "r", Class: class, Sent: 1000 * testMS, Deadline: time.Second}}
 	s.oracle.addRequest(s.request)
 	return s
 }
 
 // arrive records an attempt at a server, and whether the server reported that it never ran.
-func (s *requestHistory) arrive(server string, at Moment, leftMS float64, neverRan bool) {
+func (s *history) arrive(server string, at Moment, leftMS float64, neverRan bool) {
 	s.attempts++
-	s.oracle.handleEvent(Event{Type: EventArrival, At: at, First: at, Server: server, Attempt: s.attempts, Request: "r", LeftMS: leftMS})
+	s.oracle.handleEvent(Event{Type: EventArrival, At: at, First: at, Server: server, Attempt: s.attempts, Request: "r", RemainingMS: leftMS})
 	s.oracle.handleEvent(Event{Type: EventAttemptEnd, At: at, Server: server, Attempt: s.attempts, Request: "r", NeverRan: neverRan})
 }
 
-func (s *requestHistory) answer(kind AnswerKind, at Moment) {
+// answer records the client's answer.
+func (s *history) answer(kind AnswerKind, at Moment) {
 	s.request.Kind, s.request.Answered, s.request.Value = kind, at, "v:r:a"
 }
 
-func (s *requestHistory) notify(state string, at Moment) {
+// notify records that discovery reported a state of server "a" to the gateway.
+func (s *history) notify(state string, at Moment) {
 	s.oracle.handleEvent(Event{Type: EventNotified, At: at, Server: "a", State: state})
 }
 
-// Guards against an oracle that misses a violation, reports the wrong rule, or reports a violation where the specification
-// permits the observed behaviour.
+// Guards against an oracle that misses a violation, reports the wrong rule, or reports a violation where the
+// specification permits the observed behaviour.
 func TestOracleReportsExactlyTheViolations(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class string
-		act   func(s *requestHistory)
+		act   func(s *history)
 		want  Rule // empty: no violation
 	}{
-		"served":                              {ClassSafe, func(s *requestHistory) { s.arrive("a", 1010*testMS, 900, false); s.answer(Served, 1100*testMS) }, ""},
-		"never answered":                      {ClassSafe, func(*requestHistory) {}, RuleLost},
-		"connection closed without an answer": {ClassSafe, func(s *requestHistory) { s.request.ConnEnded = 1400 * testMS }, RuleLost},
-		"connection closed before the request was read":    {ClassSafe, func(s *requestHistory) { s.request.ConnEnded, s.request.RacedClose = 1010*testMS, true }, ""},
-		"client disconnected":                              {ClassSafe, func(s *requestHistory) { s.request.ClientGone = 1010 * testMS }, ""},
-		"gateway killed":                                   {ClassSafe, func(s *requestHistory) { s.request.ConnEnded = 1300 * testMS; s.recordKill(1200, 1200) }, ""},
-		"gateway killed, request sent after the exemption": {ClassSafe, func(s *requestHistory) { s.request.ConnEnded = 1300 * testMS; s.recordKill(1200, 900) }, RuleLost},
-		"sent to a dead process on an old connection": {ClassSafe, func(s *requestHistory) {
+		"served":                              {ClassSafe, func(s *history) { s.arrive("a", 1010*testMS, 900, false); s.answer(Served, 1100*testMS) }, ""},
+		"never answered":                      {ClassSafe, func(*history) {}, RuleLost},
+		"connection closed without an answer": {ClassSafe, func(s *history) { s.request.ConnEnded = 1400 * testMS }, RuleLost},
+		"connection closed before the request was read":    {ClassSafe, func(s *history) { s.request.ConnEnded, s.request.RacedClose = 1010*testMS, true }, ""},
+		"client disconnected":                              {ClassSafe, func(s *history) { s.request.ClientGone = 1010 * testMS }, ""},
+		"gateway killed":                                   {ClassSafe, func(s *history) { s.request.ConnEnded = 1300 * testMS; s.recordKill(1200, 1200) }, ""},
+		"gateway killed, request sent after the exemption": {ClassSafe, func(s *history) { s.request.ConnEnded = 1300 * testMS; s.recordKill(1200, 900) }, RuleLost},
+		"sent to a dead process on an old connection": {ClassSafe, func(s *history) {
 			s.request.ConnOpened, s.request.ConnEnded = 500*testMS, 1300*testMS
 			s.oracle.outages[0] = []outage{{begun: 900 * testMS, exemptBefore: 910 * testMS, outright: true}}
 		}, ""},
-		"sent on a connection opened after a kill": {ClassSafe, func(s *requestHistory) {
+		"sent on a connection opened after a kill": {ClassSafe, func(s *history) {
 			s.request.ConnOpened, s.request.ConnEnded = 950*testMS, 1300*testMS
 			s.oracle.outages[0] = []outage{{begun: 900 * testMS, exemptBefore: 910 * testMS, outright: true}}
 		}, RuleLost},
-		"slow reader's connection closed":        {ClassSafe, func(s *requestHistory) { s.request.SlowReader = true; s.request.ConnEnded = 1400 * testMS }, RuleSlowClient},
-		"late answer":                            {ClassSafe, func(s *requestHistory) { s.answer(Failed, 2600*testMS) }, RuleLate},
-		"late because of the preceding answer":   {ClassSafe, func(s *requestHistory) { s.answer(Failed, 2600*testMS); s.request.PreviousAnswer = 2000 * testMS }, ""},
-		"value of another request":               {ClassSafe, func(s *requestHistory) { s.answer(Served, 1100*testMS); s.request.Value = "v:q:a" }, RuleWrongAnswer},
-		"attempt after the answer":               {ClassSafe, func(s *requestHistory) { s.answer(Failed, 1100*testMS); s.arrive("a", 1300*testMS, 100, false) }, RuleAfterAnswer},
-		"attempt after the client disconnected":  {ClassSafe, func(s *requestHistory) { s.request.ClientGone = 1010 * testMS; s.arrive("a", 1300*testMS, 100, false) }, RuleClientGone},
-		"attempt states too much remaining time": {ClassSafe, func(s *requestHistory) { s.arrive("a", 1500*testMS, 900, false); s.answer(Failed, 1900*testMS) }, RuleDeadline},
-		"unsafe, two attempts":                   {ClassUnsafe, func(s *requestHistory) { s.twice("a", "a", 50, false, Failed) }, RuleRepeat},
-		"unsafe, first attempt never ran":        {ClassUnsafe, func(s *requestHistory) { s.twice("a", "b", 50, true, Served) }, ""},
-		"keyed, same cell":                       {ClassKeyed, func(s *requestHistory) { s.twice("a", "a", 50, false, Served) }, ""},
-		"keyed, other cell":                      {ClassKeyed, func(s *requestHistory) { s.twice("a", "b", 50, false, Served) }, RuleRepeat},
-		"keyed, after the deduplication window":  {ClassKeyed, func(s *requestHistory) { s.twice("a", "a", 800, false, Served) }, RuleRepeat},
-		"unsafe, two attempts, server paused": {ClassUnsafe, func(s *requestHistory) {
+		"slow reader's connection closed":        {ClassSafe, func(s *history) { s.request.SlowReader = true; s.request.ConnEnded = 1400 * testMS }, RuleSlowClient},
+		"late answer":                            {ClassSafe, func(s *history) { s.answer(Failed, 2600*testMS) }, RuleLate},
+		"late because of the preceding answer":   {ClassSafe, func(s *history) { s.answer(Failed, 2600*testMS); s.request.PreviousAnswer = 2000 * testMS }, ""},
+		"value of another request":               {ClassSafe, func(s *history) { s.answer(Served, 1100*testMS); s.request.Value = "v:q:a" }, RuleWrongAnswer},
+		"attempt after the answer":               {ClassSafe, func(s *history) { s.answer(Failed, 1100*testMS); s.arrive("a", 1300*testMS, 100, false) }, RuleAfterAnswer},
+		"attempt after the client disconnected":  {ClassSafe, func(s *history) { s.request.ClientGone = 1010 * testMS; s.arrive("a", 1300*testMS, 100, false) }, RuleClientGone},
+		"attempt states too much remaining time": {ClassSafe, func(s *history) { s.arrive("a", 1500*testMS, 900, false); s.answer(Failed, 1900*testMS) }, RuleDeadline},
+		"unsafe, two attempts":                   {ClassUnsafe, func(s *history) { s.arriveTwice("a", "a", 50, false, Failed) }, RuleRepeat},
+		"unsafe, first attempt never ran":        {ClassUnsafe, func(s *history) { s.arriveTwice("a", "b", 50, true, Served) }, ""},
+		"keyed, same cell":                       {ClassKeyed, func(s *history) { s.arriveTwice("a", "a", 50, false, Served) }, ""},
+		"keyed, other cell":                      {ClassKeyed, func(s *history) { s.arriveTwice("a", "b", 50, false, Served) }, RuleRepeat},
+		"keyed, after the deduplication window":  {ClassKeyed, func(s *history) { s.arriveTwice("a", "a", 800, false, Served) }, RuleRepeat},
+		"unsafe, two attempts, server paused": {ClassUnsafe, func(s *history) {
 			s.oracle.pauses["a"] = []pause{{1000 * testMS, 2000 * testMS}}
-			s.twice("a", "a", 50, false, Failed)
+			s.arriveTwice("a", "a", 50, false, Failed)
 		}, RuleRepeat},
-		"refused, attempt may have run":      {ClassUnsafe, func(s *requestHistory) { s.arrive("a", 1010*testMS, 900, false); s.answer(Refused, 1100*testMS) }, RuleRefusal},
-		"refused, attempt never ran":         {ClassUnsafe, func(s *requestHistory) { s.arrive("a", 1010*testMS, 900, true); s.answer(Refused, 1100*testMS) }, ""},
-		"draining for longer than the grace": {ClassSafe, func(s *requestHistory) { s.notify("draining", 500*testMS); s.served() }, RuleDrain},
-		"draining for less than the grace":   {ClassSafe, func(s *requestHistory) { s.notify("draining", 900*testMS); s.served() }, ""},
-		"up again":                           {ClassSafe, func(s *requestHistory) { s.notify("draining", 100*testMS); s.notify("up", 900*testMS); s.served() }, ""},
+		"refused, attempt may have run":      {ClassUnsafe, func(s *history) { s.arrive("a", 1010*testMS, 900, false); s.answer(Refused, 1100*testMS) }, RuleRefusal},
+		"refused, attempt never ran":         {ClassUnsafe, func(s *history) { s.arrive("a", 1010*testMS, 900, true); s.answer(Refused, 1100*testMS) }, ""},
+		"draining for longer than the grace": {ClassSafe, func(s *history) { s.notify("draining", 500*testMS); s.serve() }, RuleDrain},
+		"draining for less than the grace":   {ClassSafe, func(s *history) { s.notify("draining", 900*testMS); s.serve() }, ""},
+		"up again":                           {ClassSafe, func(s *history) { s.notify("draining", 100*testMS); s.notify("up", 900*testMS); s.serve() }, ""},
 	} {
-		s := newRequestHistory(tc.class)
+		s := newHistory(tc.class)
 		tc.act(s)
 		violations := s.oracle.judge()
 		switch {
@@ -99,24 +101,26 @@
 	}
 }
 
-func (s *requestHistory) served() {
+// serve records one attempt at server "a" and its answer in time.
+func (s *history) serve() {
 	s.arrive("a", 1010*testMS, 900, false)
 	s.answer(Served, 1100*testMS)
 }
 
-func (s *requestHistory) recordKill(at, exemptBefore int) {
+// recordKill records a kill at the end of a planned restart. Both times are in milliseconds.
+func (s *history) recordKill(at, exemptBefore int) {
 	s.oracle.outages[0] = append(s.oracle.outages[0], outage{begun: Moment(at) * testMS, exemptBefore: Moment(exemptBefore) * testMS})
 }
 
-// twice records two attempts, the second laterMS after the first, and an answer.
-func (s *requestHistory) twice(first, second string, laterMS int, neverRan bool, kind AnswerKind) {
+// arriveTwice records two attempts, the second laterMS after the first, and an answer.
+func (s *history) arriveTwice(first, second string, laterMS int, neverRan bool, kind AnswerKind) {
 	s.arrive(first, 1010*testMS, 900, neverRan)
 	s.arrive(second, Moment(1010+laterMS)*testMS, 100, false)
 	s.answer(kind, Moment(1100+laterMS)*testMS)
 }
 
-// Guards against an oracle that misses an overload of a server in slow start, or reports one where the gateway did not know of
-// the server's start.
+// Guards against an oracle that misses an overload of a server in slow start, or reports one where the gateway did not
+// know of the server's start.
 func TestOracleReportsSlowStartOverload(t *testing.T) {
 	begun := 1000 * testMS
 	for name, tc := range map[string]struct {
@@ -128,7 +132,7 @@
 		"under the bound":      {requests: 20, informed: true},
 		"over the bound":       {requests: 40, informed: true, violates: true},
 		"gateway not informed": {requests: 40},
-		"only the gateway's first list shows the start": {requests: 40, informed: true, startedLater: true},
+		"only the gateway's first list shows the start, clock wrong": {requests: 40, informed: true, startedLater: true},
 	} {
 		o := newOracle(testProfile())
 		o.recordIncarnation("a", 1, serverIncarnation{begun: begun, startedMS: 7})
@@ -136,7 +140,7 @@
 			o.handleEvent(Event{Type: EventNotified, At: begun, Server: "a", State: "up", StartedMS: 7})
 		}
 		if tc.startedLater {
-			o.starts[0] = []gatewayStart{{at: begun + 1, clockOff: true}}
+			o.gatewayStarts[0] = []gatewayStart{{at: begun + 1, clockOff: true}}
 		}
 		for i := range tc.requests {
 			id := strings.Repeat("x", i+1)
@@ -150,8 +154,8 @@
 	}
 }
 
-// Guards against an oracle that misses a gateway that does not call the newly configured discovery address within 4 s of a
-// reload, or that reports one whose process ended or was reconfigured before.
+// Guards against an oracle that misses a gateway that does not call the newly configured discovery address within 4 s
+// of a reload, or that reports one whose process ended or was reconfigured before.
 func TestOracleReportsIgnoredReload(t *testing.T) {
 	at := 1000 * testMS
 	for name, tc := range map[string]struct {
--- a/internal/faultsoak/process.go
+++ b/internal/faultsoak/process.go
@@ -23,8 +23,8 @@
 	ended    chan struct{}
 }
 
-// startProcess starts a program, which the kernel kills if this process dies. If handle is not nil, it receives each line of
-// the program's standard output, decoded as an event.
+// startProcess starts a program, which the kernel kills if this process dies. If handle is not nil, it receives each
+// line of the program's standard output, decoded as an event.
 func startProcess(name string, cmd *exec.Cmd, handle func(Event)) (*process, error) {
 	p := &process{name: name, cmd: cmd, ended: make(chan struct{})}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -72,6 +72,7 @@
 	}
 }
 
+// isExpected reports whether this program requested the exit of the process.
 func (p *process) isExpected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faultsoak/profile.go
+++ b/internal/faultsoak/profile.go
@@ -16,9 +16,9 @@
 // Profile holds those settings of the gateways' deployment that the oracle needs.
 type Profile struct {
 	Gateways     int
-	DedupWindow  time.Duration // deduplication window of the keyed class: within it, the servers of a cell drop repeats of a request
-	Deadline     time.Duration // longest deadline of all classes
-	DrainGrace   time.Duration
+	DedupWindow  time.Duration  // of the keyed class: within it, the servers of a cell drop repeats of a request
+	Deadline     time.Duration  // longest deadline of all classes
+	DrainGrace   time.Duration  // for attempts to a card server after a gateway was informed that it drains
 	ColdFrom     float64        // share of the full capacity at the beginning of slow start
 	ColdFor      time.Duration  // length of slow start
 	FallMultiple float64        // the slow-start bound is this multiple of the capacity ...
@@ -75,7 +75,7 @@
 	Prices struct{ Handshake float64 }
 }
 
-// settings returns the encoded settings object for the gateway with the given rank.
+// encodeSettings returns the encoded settings object for the gateway with the given rank.
 func (p Profile) encodeSettings(rank int) json.RawMessage {
 	deadline := p.Deadline.Nanoseconds()
 	s := wireSettings{Instances: p.Gateways, Rank: rank, Zone: "a"}
--- a/internal/faultsoak/proxy.go
+++ b/internal/faultsoak/proxy.go
@@ -44,8 +44,8 @@
 
 // relay is one connection through the proxy.
 type relay struct {
-	downstream, upstream *net.TCPConn
-	dataLost             bool // bytes were discarded, so the connection must be reset and never be used again
+	downstream, upstream *net.TCPConn // to the gateway and to the card server
+	dataLost             bool         // bytes were discarded, so the connection can only be reset
 }
 
 // RunProxy relays on all routes until the command input ends.
@@ -68,6 +68,7 @@
 	return nil
 }
 
+// setMode sets the mode, and resets the open connections that may not continue in it.
 func (r *route) setMode(mode ProxyMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,6 +80,7 @@
 	}
 }
 
+// effectiveMode returns the mode for a connection. A connection that has lost bytes stays silent until it is reset.
 func (r *route) effectiveMode(c *relay) ProxyMode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,6 +93,7 @@
 	return r.mode
 }
 
+// reset closes both connections with a TCP reset.
 func (c *relay) reset() {
 	c.downstream.SetLinger(0)
 	c.upstream.SetLinger(0)
--- a/internal/faultsoak/run.go
+++ b/internal/faultsoak/run.go
@@ -20,10 +20,10 @@
 	RoleProxy     = "proxy"
 )
 
-// Options configure a run.
+// Options configures a run.
 type Options struct {
 	Seed           uint64
-	Duration       time.Duration // of the traffic; the fault scenarios end quietPeriod earlier
+	Duration       time.Duration // of the traffic; see quietPeriod for the fault scenarios
 	Gateways       int
 	Servers        int
 	Rate           float64 // mean number of client behaviours started per second at each gateway
@@ -36,8 +36,8 @@
 	Log            io.Writer
 }
 
-// Report is the result of a run. Other counts the requests without an answer. Troubles holds the names of the fault scenarios
-// in the order in which they started.
+// Report is the result of a run. Other counts the requests without an answer. Troubles holds the names of the fault
+// scenarios in the order in which they started.
 type Report struct {
 	Seed                                     uint64
 	Dir                                      string
@@ -47,8 +47,8 @@
 	Violations                               []Violation
 }
 
-// quietPeriod is the time at the end of the traffic in which no fault scenarios start, so that lasting effects of earlier
-// faults show.
+// quietPeriod is the time at the end of the traffic in which no new group of fault scenarios starts, so that the
+// lasting effects of earlier faults show.
 const quietPeriod = 3 * time.Second
 
 // Run performs the run of one seed.
@@ -82,8 +82,8 @@
 	if err := f.start(); err != nil {
 		return Report{}, err
 	}
-	f.log("seed %d: deduplication window %v, deadline %v, slow start from %v of the capacity for %v, bound multiple %v, server rate %.0f/s", o.Seed, profile.DedupWindow, profile.Deadline,
-		profile.ColdFrom, profile.ColdFor, profile.FallMultiple, profile.ServerRate)
+	f.log("seed %d: deduplication window %v, deadline %v, slow start from %v of the capacity for %v, bound multiple %v, server rate %.0f/s",
+		o.Seed, profile.DedupWindow, profile.Deadline, profile.ColdFrom, profile.ColdFor, profile.FallMultiple, profile.ServerRate)
 	until := time.Now().Add(o.Duration)
 	for i := range o.Gateways {
 		f.clients.tasks.Go(func() { f.clients.traffic(i, o.Rate, until) })
@@ -98,8 +98,8 @@
 	return report, writeReport(filepath.Join(dir, "report.json"), report)
 }
 
-// runScenarios starts groups of two or three overlapping fault scenarios until the given time, waits for their ends and returns
-// their names.
+// runScenarios starts groups of two or three overlapping fault scenarios until the given time, waits for their ends and
+// returns their names.
 func (f *fleet) runScenarios(until time.Time) []string {
 	scenarios := scenariosMatching(f.options.Only)
 	var names []string
--- a/internal/faultsoak/trouble.go
+++ b/internal/faultsoak/scenario.go
@@ -9,8 +9,8 @@
 	"winghatch/internal/platform"
 )
 
-// faultScenario is one fault that a run injects. act injects it and returns when the fault is over. The name appears in reports
-// and is matched by --only.
+// faultScenario is one fault that a run injects. act injects it and returns when the fault is over. The name appears in
+// reports and is matched by --only.
 type faultScenario struct {
 	name   string
 	weight int
@@ -76,10 +76,11 @@
 	return scenarios[0]
 }
 
+// randomGateway draws one of the gateways.
 func (f *fleet) randomGateway() *gateway { return f.gateways[f.rng.intN(len(f.gateways))] }
 
-// claimServers claims random card servers for a scenario, so that no other scenario uses them: at most the given number of
-// tenths of all servers, and at least one if any is unclaimed.
+// claimServers claims random card servers for a scenario, so that no other scenario uses them: at most the given number
+// of tenths of all servers, and at least one if any is unclaimed.
 func (f *fleet) claimServers(tenths int) []*server {
 	limit := max(1, len(f.servers)*tenths/10)
 	var claimed []*server
@@ -111,8 +112,9 @@
 func plannedRestart(f *fleet)    { f.restartGateway(f.randomGateway()) }
 func killRandomGateway(f *fleet) { f.killGateway(f.randomGateway()) }
 
-// killWhileDiscoveryIsSlow kills a gateway whose next process has to wait for discovery, because its saved list is out of date.
-// Clients keep connecting to it meanwhile, as if the load balancer had not yet noticed that the previous process is gone.
+// killWhileDiscoveryIsSlow kills a gateway whose next process has to wait for discovery, because its saved list is out
+// of date. Clients keep connecting to it meanwhile, as if the load balancer had not yet noticed that the previous
+// process is gone.
 func killWhileDiscoveryIsSlow(f *fleet) {
 	restartOneServer(f) // so that the list has changed
 	f.discovery.send(DiscoveryCommand{Mode: DiscoverySlow})
@@ -143,8 +145,8 @@
 	}
 }
 
-// newConfiguration changes the discovery address in a gateway's configuration file and sends SIGHUP. The file may be incomplete
-// when the signal arrives.
+// newConfiguration changes the discovery address in a gateway's configuration file and sends SIGHUP. The file may be
+// incomplete when the signal arrives.
 func newConfiguration(f *fleet) {
 	g := f.randomGateway()
 	for range 1 + f.rng.intN(2) {
@@ -189,6 +191,7 @@
 	}
 }
 
+// serverModeFault puts up to 40 % of the card servers into a mode for 0.3 to 3 s.
 func serverModeFault(mode ServerMode) func(f *fleet) {
 	return func(f *fleet) {
 		claimed := f.claimServers(4)
@@ -213,6 +216,8 @@
 
 func restartMostServers(f *fleet) { restartServers(f, 7) }
 
+// restartServers restarts the given number of tenths of the card servers one after the other, all with the same clock
+// offset.
 func restartServers(f *fleet, tenths int) {
 	clockOffset := drawClockOffset(f)
 	f.log("card servers restart with their wall clocks %v ahead", clockOffset)
@@ -264,6 +269,7 @@
 	}
 }
 
+// routeModeFault puts the proxy's routes to up to 40 % of the card servers into a mode for 0.3 to 3 s.
 func routeModeFault(mode ProxyMode) func(f *fleet) {
 	return func(f *fleet) {
 		claimed := f.claimServers(4)
@@ -278,6 +284,7 @@
 	}
 }
 
+// discoveryModeFault puts discovery into a mode for 0.5 to 5 s.
 func discoveryModeFault(mode DiscoveryMode) func(f *fleet) {
 	return func(f *fleet) {
 		f.discovery.send(DiscoveryCommand{Mode: mode})
@@ -286,6 +293,8 @@
 	}
 }
 
+// silenceWatches makes discovery never answer the long polls that are open. With a probability of 0.3 discovery also
+// sends full lists for the rest of the run.
 func silenceWatches(f *fleet) {
 	f.discovery.send(DiscoveryCommand{SilenceWatches: true, FullLists: f.rng.chance(0.3)})
 }
@@ -308,8 +317,8 @@
 	launchClients(f, 2+f.rng.intN(4), malformedCommandClient)
 }
 
-// startFaults draws the faults injected into a gateway process from its start: a wall clock offset, system calls that fail
-// during short periods, and short reads and writes.
+// startFaults draws the faults injected into a gateway process from its start: a wall clock offset, system calls that
+// fail during short periods, and short reads and writes.
 func (f *fleet) startFaults() platform.Script {
 	script := platform.Script{}
 	if f.rng.chance(0.3) {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -41,8 +41,7 @@
 )
 
 // Run serves clients until the context ends. It then accepts connections for a short time, answers all requests that
-// it has taken, and returns. Each address received from
-// discoveryAddrs replaces the address of discovery.
+// it has taken, and returns. Each address received from discoveryAddrs replaces the address of discovery.
 func Run(ctx context.Context, cfg Config, discoveryAddrs <-chan netip.AddrPort, log *slog.Logger) error {
 	ln, err := listen(ctx, cfg.Listen.String(), log)
 	if err != nil && ctx.Err() != nil {
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -130,8 +130,9 @@
 		for j := range s.Decide.Plans[:min(len(s.Decide.Plans), 4)] {
 			requests++
 			class := &s.Decide.Classes[i]
-			request := decide.Request{ID: fmt.Sprint(requests), Class: class.Name, Plan: s.Decide.Plans[j].Name, Customer: fmt.Sprint("c", j),
-				Units: 1, Deadline: now + time.Second, Spread: 1}
+			request := decide.Request{ID: fmt.Sprint(requests), Class: class.Name, Plan: s.Decide.Plans[j].Name,
+				Customer: fmt.Sprint("c", j),
+				Units:    1, Deadline: now + time.Second, Spread: 1}
 			send, answered := apply(engine.Handle(now, request))
 			// Owner queries are not answered. Fire their timeouts, earliest first.
 			for fired := 0; send == nil && !answered && fired < 16 && len(timers) > 0; fired++ {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -106,13 +106,14 @@
 		{"Safety.DrainGraceNs", s.Safety.DrainGraceNs}, {"Safety.ColdNs", s.Safety.ColdNs},
 		{"Safety.FallNs", s.Safety.FallNs}, {"Safety.AskWithinNs", s.Safety.AskWithinNs}}
 	names := map[string]bool{}
-	for i, k := range s.Classes {
-		at := fmt.Sprintf("Classes[%d].", i)
-		times = append(times, durationField{at + "AimNs", k.AimNs}, durationField{at + "GiveUpNs", k.GiveUpNs}, durationField{at + "WindowNs", k.WindowNs})
-		if names[k.Name] {
-			return fmt.Errorf("%sName: %q comes twice", at, k.Name)
+	for i, class := range s.Classes {
+		prefix := fmt.Sprintf("Classes[%d].", i)
+		times = append(times, durationField{prefix + "AimNs", class.AimNs},
+			durationField{prefix + "GiveUpNs", class.GiveUpNs}, durationField{prefix + "WindowNs", class.WindowNs})
+		if names[class.Name] {
+			return fmt.Errorf("%sName: %q comes twice", prefix, class.Name)
 		}
-		names[k.Name] = true
+		names[class.Name] = true
 	}
 	for _, t := range times {
 		if t.ns < 0 || t.ns > int64(maxDuration) {
@@ -120,11 +121,11 @@
 		}
 	}
 	clear(names)
-	for i, p := range s.TiersOfService {
-		if names[p.Name] {
-			return fmt.Errorf("TiersOfService[%d].Name: %q comes twice", i, p.Name)
+	for i, tier := range s.TiersOfService {
+		if names[tier.Name] {
+			return fmt.Errorf("TiersOfService[%d].Name: %q comes twice", i, tier.Name)
 		}
-		names[p.Name] = true
+		names[tier.Name] = true
 	}
 	return nil
 }
@@ -155,23 +156,23 @@
 	effects := map[string]decide.Effect{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}
 	groups := map[string]decide.Group{"all": decide.GroupAll, "zone": decide.GroupZone,
 		"cell": decide.GroupCell, "": decide.GroupCell}
-	for i, k := range s.Classes {
-		effect, ok := effects[k.Effect]
+	for i, class := range s.Classes {
+		effect, ok := effects[class.Effect]
 		if !ok {
-			return c, fmt.Errorf("Classes[%d].Effect: unknown %q", i, k.Effect)
+			return c, fmt.Errorf("Classes[%d].Effect: unknown %q", i, class.Effect)
 		}
-		group, ok := groups[k.Group]
+		group, ok := groups[class.Group]
 		if !ok {
-			return c, fmt.Errorf("Classes[%d].Group: unknown %q", i, k.Group)
+			return c, fmt.Errorf("Classes[%d].Group: unknown %q", i, class.Group)
 		}
-		c.Classes = append(c.Classes, decide.Class{Name: k.Name, Effect: effect, Group: group,
-			Window: time.Duration(k.WindowNs), Aim: time.Duration(k.AimNs), AimStretch: k.AimStretch,
-			Deadline: time.Duration(k.GiveUpNs), Worth: k.Importance, LateWorth: k.LateWorth, Stream: k.Stream})
-	}
-	for _, p := range s.TiersOfService {
-		c.Plans = append(c.Plans, decide.Plan{Name: p.Name, Rate: p.Refill, Burst: p.MostAtOnce,
-			CeilingRate: p.NeverOverRate, CeilingBurst: p.NeverOverDepth, CeilingSlack: p.HardSlack,
-			MaxOpen: p.Parallel, Price: p.Pays, OverWorth: p.BeyondEarns, OverCost: p.ExcessCost})
+		c.Classes = append(c.Classes, decide.Class{Name: class.Name, Effect: effect, Group: group,
+			Window: time.Duration(class.WindowNs), Aim: time.Duration(class.AimNs), AimStretch: class.AimStretch,
+			Deadline: time.Duration(class.GiveUpNs), Worth: class.Importance, LateWorth: class.LateWorth, Stream: class.Stream})
+	}
+	for _, tier := range s.TiersOfService {
+		c.Plans = append(c.Plans, decide.Plan{Name: tier.Name, Rate: tier.Refill, Burst: tier.MostAtOnce,
+			CeilingRate: tier.NeverOverRate, CeilingBurst: tier.NeverOverDepth, CeilingSlack: tier.HardSlack,
+			MaxOpen: tier.Parallel, Price: tier.Pays, OverWorth: tier.BeyondEarns, OverCost: tier.ExcessCost})
 	}
 	return c, nil
 }
--- a/internal/watch/fleet_test.go
+++ b/internal/watch/fleet_test.go
@@ -26,37 +26,38 @@
 	failing                                  bool
 }
 
-func newPreviousPolicy(first, most time.Duration, rng *rand.Rand) *previousPolicy {
-	return &previousPolicy{firstPause: first, maxPause: most, pause: first, callTimeout: 250 * time.Millisecond, rng: rng, version: 1}
+func newPreviousPolicy(firstPause, maxPause time.Duration, rng *rand.Rand) *previousPolicy {
+	return &previousPolicy{firstPause: firstPause, maxPause: maxPause, pause: firstPause,
+		callTimeout: 250 * time.Millisecond, rng: rng, version: 1}
 }
 
-func (f *previousPolicy) Next(time.Duration) Call {
-	if f.failing {
-		return Call{Kind: Check, After: f.version, Timeout: f.callTimeout}
+func (p *previousPolicy) Next(time.Duration) Call {
+	if p.failing {
+		return Call{Kind: Check, After: p.version, Timeout: p.callTimeout}
 	}
-	return Call{Kind: Watch, After: f.version, Wait: 4 * time.Second, Timeout: 4500 * time.Millisecond}
+	return Call{Kind: Watch, After: p.version, Wait: 4 * time.Second, Timeout: 4500 * time.Millisecond}
 }
 
-func (f *previousPolicy) Done(_ time.Duration, r Result) Step {
+func (p *previousPolicy) Done(_ time.Duration, r Result) Step {
 	switch r.Outcome {
 	case Refused:
-		d := f.pause/2 + time.Duration(f.rng.Int64N(int64(f.pause/2)))
-		f.failing, f.pause = false, min(2*f.pause, f.maxPause)
-		return Step{Pause: d}
+		pause := p.pause/2 + time.Duration(p.rng.Int64N(int64(p.pause/2)))
+		p.failing, p.pause = false, min(2*p.pause, p.maxPause)
+		return Step{Pause: pause}
 	case Answered:
-		f.failing, f.callTimeout, f.pause, f.version = false, 250*time.Millisecond, f.firstPause, r.Version
+		p.failing, p.callTimeout, p.pause, p.version = false, 250*time.Millisecond, p.firstPause, r.Version
 		return Step{HasChanges: true, UpToDate: true}
 	}
-	if f.failing {
-		f.callTimeout = min(2*f.callTimeout, 2*time.Second)
+	if p.failing {
+		p.callTimeout = min(2*p.callTimeout, 2*time.Second)
 	}
-	f.failing = true
+	p.failing = true
 	return Step{Pause: 50 * time.Millisecond}
 }
 
 const (
 	networkDelay  = 2 * time.Millisecond // one way
-	maxQueuedWork = 2 * time.Second      // of work in discovery's queue; a call beyond it is refused
+	maxQueuedWork = 2 * time.Second      // in discovery's queue; a call beyond it is refused
 )
 
 // event is an action of the model at a point in time. Events at the same time run in the order of seq.
@@ -69,16 +70,16 @@
 // eventQueue is a heap of events (container/heap).
 type eventQueue []event
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(a[i].at, a[j].at), cmp.Compare(a[i].seq, a[j].seq)) < 0
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].seq, q[j].seq)) < 0
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *eventQueue) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	*a = (*a)[:last]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	x := (*q)[last]
+	*q = (*q)[:last]
 	return x
 }
 
@@ -92,123 +93,129 @@
 	events           eventQueue
 	gateways         []*gateway
 	callWork         time.Duration // time that discovery needs to serve a call
-	refusalCost      float64
+	refusalCost      float64       // work of a refusal, as a fraction of callWork
 	idleAt           time.Duration // when discovery has done all queued work
 	down             bool          // discovery does not answer
 	busy             bool          // discovery refuses all calls, as other callers fill its queue
-	unreachableSince time.Duration // when discovery last went down or became busy
+	unreachableSince time.Duration // when discovery last became down or busy
 	outages          int           // number of outages so far; each loses the calls in the queue
 	version          uint64
-	availableAt      []time.Duration // by version: when discovery had it, or was available again if that is later
-	parked           []func()
-	openWatches      map[int]func() // by call: answers a waiting watch
-	callsBySecond    map[int]int    // by second
+	availableAt      []time.Duration // by version: when discovery had it, or was reachable again if that is later
+	openWatches      map[int]func()  // by call: answers a waiting watch
+	callsBySecond    map[int]int
 	refusals         int
-	wastedCalls      int // calls that were served after their caller had given up
-	delays           []time.Duration
+	wastedCalls      int             // calls that were served after their caller had given up
+	delays           []time.Duration // of all changes that a gateway received
 }
 
+// gateway is a simulated gateway. It makes one call at a time, as its caller decides.
 type gateway struct {
 	model    *model
-	c        caller
+	caller   caller
 	version  uint64
 	openCall int // the call in progress; 0: none
 }
 
-func (f *model) schedule(d time.Duration, do func()) {
-	f.seq++
-	heap.Push(&f.events, event{d, f.seq, do})
+// schedule adds an event at the given time.
+func (m *model) schedule(d time.Duration, do func()) {
+	m.seq++
+	heap.Push(&m.events, event{d, m.seq, do})
 }
 
-func (f *model) run(until time.Duration) {
-	for len(f.events) > 0 && f.events[0].at <= until {
-		o := heap.Pop(&f.events).(event)
-		f.now = o.at
-		o.do()
+// run processes all events up to the given time.
+func (m *model) run(until time.Duration) {
+	for len(m.events) > 0 && m.events[0].at <= until {
+		next := heap.Pop(&m.events).(event)
+		m.now = next.at
+		next.do()
 	}
-	f.now = until
+	m.now = until
 }
 
-func newModel(n int, capacity, refusal float64, seed uint64, make func(*rand.Rand) caller) *model {
-	f := &model{callWork: time.Duration(float64(time.Second) / capacity), refusalCost: refusal, version: 1,
+// newModel returns a model with n gateways. Discovery serves capacity calls a second.
+func newModel(n int, capacity, refusalCost float64, seed uint64, newCaller func(*rand.Rand) caller) *model {
+	m := &model{callWork: time.Duration(float64(time.Second) / capacity), refusalCost: refusalCost, version: 1,
 		availableAt: []time.Duration{0, 0}, openWatches: map[int]func(){}, callsBySecond: map[int]int{}}
 	for i := range n {
-		f.gateways = append(f.gateways, &gateway{model: f, version: 1, c: make(rand.New(rand.NewPCG(seed, uint64(i))))})
+		m.gateways = append(m.gateways, &gateway{model: m, version: 1, caller: newCaller(rand.New(rand.NewPCG(seed, uint64(i))))})
 	}
-	return f
+	return m
 }
 
 // start starts the gateways at times spread evenly over a duration.
-func (f *model) start(over time.Duration) {
-	for i, g := range f.gateways {
-		f.schedule(f.now+over*time.Duration(i)/time.Duration(len(f.gateways)), g.call)
+func (m *model) start(over time.Duration) {
+	for i, g := range m.gateways {
+		m.schedule(m.now+over*time.Duration(i)/time.Duration(len(m.gateways)), g.call)
 	}
 }
 
+// call makes the gateway's next call and schedules its timeout.
 func (g *gateway) call() {
-	f := g.model
-	c := g.c.Next(f.now)
-	f.seq++
-	id := f.seq
+	m := g.model
+	c := g.caller.Next(m.now)
+	m.seq++
+	id := m.seq
 	g.openCall = id
-	f.callsBySecond[int(f.now/time.Second)]++
+	m.callsBySecond[int(m.now/time.Second)]++
 	end := func(r Result) {
 		if g.openCall != id {
 			return
 		}
 		g.openCall = 0
-		delete(f.openWatches, id)
+		delete(m.openWatches, id)
 		g.finish(r)
 	}
-	f.schedule(f.now+c.Timeout, func() { end(Result{Outcome: TimedOut}) })
-	f.schedule(f.now+networkDelay, func() { f.arrive(g, id, c, end) })
+	m.schedule(m.now+c.Timeout, func() { end(Result{Outcome: TimedOut}) })
+	m.schedule(m.now+networkDelay, func() { m.arrive(g, id, c, end) })
 }
 
+// finish handles the result of a call: it records the delays of the changes received, and schedules the next call.
 func (g *gateway) finish(r Result) {
-	f := g.model
-	s := g.c.Done(f.now, r)
+	m := g.model
+	s := g.caller.Done(m.now, r)
 	if r.Outcome == Answered && s.UpToDate {
 		for v := g.version + 1; v <= r.Version; v++ {
-			f.delays = append(f.delays, f.now-f.availableAt[v])
+			m.delays = append(m.delays, m.now-m.availableAt[v])
 		}
 		g.version = max(g.version, r.Version)
 	}
-	f.schedule(f.now+s.Pause, g.call)
+	m.schedule(m.now+s.Pause, g.call)
 }
 
-func (f *model) arrive(g *gateway, id int, c Call, end func(Result)) {
-	if f.down {
+// arrive handles a call that reaches discovery.
+func (m *model) arrive(g *gateway, id int, c Call, end func(Result)) {
+	if m.down {
 		return
 	}
-	f.idleAt = max(f.idleAt, f.now)
-	if f.busy || f.idleAt-f.now > maxQueuedWork-f.callWork {
-		f.idleAt += time.Duration(f.refusalCost * float64(f.callWork))
-		f.refusals++
-		f.schedule(f.now+networkDelay, func() { end(Result{Outcome: Refused}) })
+	m.idleAt = max(m.idleAt, m.now)
+	if m.busy || m.idleAt-m.now > maxQueuedWork-m.callWork {
+		m.idleAt += time.Duration(m.refusalCost * float64(m.callWork))
+		m.refusals++
+		m.schedule(m.now+networkDelay, func() { end(Result{Outcome: Refused}) })
 		return
 	}
-	f.idleAt += f.callWork
-	downs := f.outages
-	f.schedule(f.idleAt, func() {
-		if downs != f.outages {
+	m.idleAt += m.callWork
+	outages := m.outages
+	m.schedule(m.idleAt, func() {
+		if outages != m.outages {
 			return
 		}
 		if g.openCall != id {
-			f.wastedCalls++
+			m.wastedCalls++
 			return
 		}
 		answer := func() {
-			delete(f.openWatches, id)
-			r := Result{Outcome: Answered, Version: f.version, Entries: int(f.version - c.After)}
-			f.schedule(f.now+networkDelay, func() { end(r) })
+			delete(m.openWatches, id)
+			r := Result{Outcome: Answered, Version: m.version, Entries: int(m.version - c.After)}
+			m.schedule(m.now+networkDelay, func() { end(r) })
 		}
-		if c.Kind != Watch || f.version > c.After {
+		if c.Kind != Watch || m.version > c.After {
 			answer()
 			return
 		}
-		f.openWatches[id] = answer
-		f.schedule(f.now+c.Wait, func() {
-			if _, ok := f.openWatches[id]; ok && downs == f.outages {
+		m.openWatches[id] = answer
+		m.schedule(m.now+c.Wait, func() {
+			if _, ok := m.openWatches[id]; ok && outages == m.outages {
 				answer()
 			}
 		})
@@ -216,46 +223,46 @@
 }
 
 // change adds a version at discovery and answers all waiting watches.
-func (f *model) change() {
-	f.version++
-	f.availableAt = append(f.availableAt, f.now)
-	f.answerWatches()
+func (m *model) change() {
+	m.version++
+	m.availableAt = append(m.availableAt, m.now)
+	m.answerWatches()
 }
 
 // answerWatches answers all waiting watches in the order of their calls.
-func (f *model) answerWatches() {
-	ids := make([]int, 0, len(f.openWatches))
-	for id := range f.openWatches {
+func (m *model) answerWatches() {
+	ids := make([]int, 0, len(m.openWatches))
+	for id := range m.openWatches {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		f.openWatches[id]()
+		m.openWatches[id]()
 	}
 }
 
 // dropWatches makes all waiting watches silent: they are never answered.
-func (f *model) dropWatches() { clear(f.openWatches) }
+func (m *model) dropWatches() { clear(m.openWatches) }
 
 // goDown takes discovery down. It answers no more calls and loses those in its queue.
-func (f *model) goDown() {
-	f.dropWatches()
-	f.down, f.unreachableSince, f.idleAt = true, f.now, f.now
-	f.outages++
+func (m *model) goDown() {
+	m.dropWatches()
+	m.down, m.unreachableSince, m.idleAt = true, m.now, m.now
+	m.outages++
 }
 
 // overload makes discovery refuse all calls. Waiting watches are answered without changes.
-func (f *model) overload() {
-	f.busy, f.unreachableSince = true, f.now
-	f.answerWatches()
+func (m *model) overload() {
+	m.busy, m.unreachableSince = true, m.now
+	m.answerWatches()
 }
 
 // restore ends an outage or an overload.
-func (f *model) restore() {
-	f.down, f.busy = false, false
-	for v := range f.availableAt {
-		if f.availableAt[v] >= f.unreachableSince {
-			f.availableAt[v] = f.now
+func (m *model) restore() {
+	m.down, m.busy = false, false
+	for v := range m.availableAt {
+		if m.availableAt[v] >= m.unreachableSince {
+			m.availableAt[v] = m.now
 		}
 	}
 }
@@ -269,24 +276,25 @@
 	refusals, wasted, all int
 }
 
-func (f *model) summarize(from, to int) summary {
+// summarize returns the results. Calls are counted from second from to second to.
+func (m *model) summarize(from, to int) summary {
 	var x summary
 	for s := from; s < to; s++ {
-		x.all += f.callsBySecond[s]
-		x.peakCalls = max(x.peakCalls, float64(f.callsBySecond[s]))
+		x.all += m.callsBySecond[s]
+		x.peakCalls = max(x.peakCalls, float64(m.callsBySecond[s]))
 	}
 	x.meanCalls = float64(x.all) / float64(to-from)
-	slices.Sort(f.delays)
-	if len(f.delays) > 0 {
-		x.maxDelay, x.p90Delay = f.delays[len(f.delays)-1], f.delays[len(f.delays)*9/10]
+	slices.Sort(m.delays)
+	if len(m.delays) > 0 {
+		x.maxDelay, x.p90Delay = m.delays[len(m.delays)-1], m.delays[len(m.delays)*9/10]
 	}
-	for _, g := range f.gateways {
-		if g.version < f.version {
+	for _, g := range m.gateways {
+		if g.version < m.version {
 			x.neverUpdated++
-			x.maxDelay = max(x.maxDelay, f.now-f.availableAt[g.version+1])
+			x.maxDelay = max(x.maxDelay, m.now-m.availableAt[g.version+1])
 		}
 	}
-	x.refusals, x.wasted = f.refusals, f.wastedCalls
+	x.refusals, x.wasted = m.refusals, m.wastedCalls
 	return x
 }
 
@@ -304,43 +312,43 @@
 }
 
 const (
-	scenarioStart = 10
-	scenarioEnd   = 40
+	scenarioStart = 10 // s
+	scenarioEnd   = 40 // s
 )
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // scenarios returns the scenarios. Each holds changes that all gateways must receive. All times are in seconds.
 func scenarios() []scenario {
-	changes := func(f *model, at ...float64) {
+	changes := func(m *model, at ...float64) {
 		for _, s := range at {
-			f.schedule(seconds(s), f.change)
+			m.schedule(seconds(s), m.change)
 		}
 	}
 	return []scenario{
-		{"steady", false, func(f *model) { changes(f, 20) }},
-		{"outage", false, func(f *model) { // of 8 s; changes begin during the outage
-			f.schedule(seconds(12), f.goDown)
-			f.schedule(seconds(20), f.restore)
-			changes(f, 17, 19, 20.5, 23)
+		{"steady", false, func(m *model) { changes(m, 20) }},
+		{"outage", false, func(m *model) { // of 8 s; changes begin during the outage
+			m.schedule(seconds(12), m.goDown)
+			m.schedule(seconds(20), m.restore)
+			changes(m, 17, 19, 20.5, 23)
 		}},
-		{"overload", false, func(f *model) {
-			f.schedule(seconds(12), f.overload)
-			f.schedule(seconds(20), f.restore)
-			changes(f, 17, 19, 23)
+		{"overload", false, func(m *model) {
+			m.schedule(seconds(12), m.overload)
+			m.schedule(seconds(20), m.restore)
+			changes(m, 17, 19, 23)
 		}},
-		{"restart", true, func(f *model) { changes(f, 10, 11) }},
-		{"silent watches", false, func(f *model) {
-			f.schedule(seconds(15), f.dropWatches)
-			changes(f, 15)
+		{"restart", true, func(m *model) { changes(m, 10, 11) }},
+		{"silent watches", false, func(m *model) {
+			m.schedule(seconds(15), m.dropWatches)
+			changes(m, 15)
 		}},
-		{"silent synchronized watches", false, func(f *model) { // the first change synchronizes the watches
-			f.schedule(seconds(15.5), f.dropWatches)
-			changes(f, 13, 15.5)
+		{"silent synchronized watches", false, func(m *model) { // the first change synchronizes the watches
+			m.schedule(seconds(15.5), m.dropWatches)
+			changes(m, 13, 15.5)
 		}},
-		{"many changes", false, func(f *model) {
+		{"many changes", false, func(m *model) {
 			for i := range 27 {
-				changes(f, 12+0.3*float64(i))
+				changes(m, 12+0.3*float64(i))
 			}
 		}},
 	}
@@ -348,18 +356,19 @@
 
 // runScenario runs a scenario with n gateways. Discovery serves capacity calls a second, and a refusal costs a tenth of a call's
 // work.
-func runScenario(s scenario, n int, capacity float64, seed uint64, make func(*rand.Rand) caller) summary {
-	f := newModel(n, capacity, 0.1, seed, make)
+func runScenario(s scenario, n int, capacity float64, seed uint64, newCaller func(*rand.Rand) caller) summary {
+	m := newModel(n, capacity, 0.1, seed, newCaller)
 	if s.atOnce {
-		f.schedule(seconds(scenarioStart), func() { f.start(0) })
+		m.schedule(seconds(scenarioStart), func() { m.start(0) })
 	} else {
-		f.start(4 * time.Second)
+		m.start(4 * time.Second)
 	}
-	s.play(f)
-	f.run(seconds(scenarioEnd))
-	return f.summarize(scenarioStart, scenarioEnd)
+	s.play(m)
+	m.run(seconds(scenarioEnd))
+	return m.summarize(scenarioStart, scenarioEnd)
 }
 
+// newPacer returns a Pacer with the default configuration that holds version 1.
 func newPacer(r *rand.Rand) caller { return New(Config{HasList: true, Version: 1}, r) }
 
 // deployment is a number of gateways and the calls a second that discovery can serve.
@@ -375,7 +384,8 @@
 	t.Helper()
 	t.Logf("%d gateways, %s: %v", n, name, x)
 	if mean, peak := 0.6*float64(n)+1, 2.1*float64(n)+2; x.meanCalls > mean || x.peakCalls > peak {
-		t.Errorf("%d gateways, %s: %.0f calls a second on average and %.0f at the peak, want at most %.0f and %.0f", n, name, x.meanCalls, x.peakCalls, mean, peak)
+		t.Errorf("%d gateways, %s: %.0f calls a second on average and %.0f at the peak, want at most %.0f and %.0f",
+			n, name, x.meanCalls, x.peakCalls, mean, peak)
 	}
 	if x.wasted > 0 {
 		t.Errorf("%d gateways, %s: discovery served %d calls whose callers had given up", n, name, x.wasted)
@@ -386,14 +396,15 @@
 // that the package comment requires. An outage, an overload or silent watches that affect all gateways at once could delay
 // changes beyond the limit.
 func TestServerListUpdateIsNotLate(t *testing.T) {
-	const most = watchWait + watchGrace + 100*time.Millisecond // a watch may fall silent as soon as it starts
+	const maxDelay = watchWait + watchGrace + 100*time.Millisecond // a watch may fall silent as soon as it starts
 	for _, c := range []deployment{{2, 4}, {30, 15}, {300, 150}} {
 		for _, s := range scenarios() {
 			for seed := range uint64(seedsPerScenario) {
-				x := runScenario(s, c.gateways, c.capacity, seed, newPacer)
-				x.check(t, c.gateways, s.name)
-				if x.neverUpdated > 0 || x.maxDelay > most {
-					t.Errorf("%d gateways, %s: updated after at most %v, %d never, want all within %v", c.gateways, s.name, x.maxDelay, x.neverUpdated, most)
+				result := runScenario(s, c.gateways, c.capacity, seed, newPacer)
+				result.check(t, c.gateways, s.name)
+				if result.neverUpdated > 0 || result.maxDelay > maxDelay {
+					t.Errorf("%d gateways, %s: updated after at most %v, %d never, want all within %v",
+						c.gateways, s.name, result.maxDelay, result.neverUpdated, maxDelay)
 				}
 			}
 		}
@@ -406,15 +417,16 @@
 func TestUndersizedDiscoveryIsNotFlooded(t *testing.T) {
 	for _, tc := range []struct {
 		deployment
-		maxP90Delay     time.Duration // nine in ten are updated by then
-		maxNeverUpdated int           // that may be left at the end
+		maxP90Delay     time.Duration // 90 % of the changes must arrive within this time
+		maxNeverUpdated int           // at the end of the run
 	}{{deployment{30, 9}, seconds(9), 0}, {deployment{300, 90}, seconds(9), 0}, {deployment{80, 16}, seconds(15), 4}} {
 		for _, s := range scenarios() {
 			for seed := range uint64(seedsPerScenario) {
-				x := runScenario(s, tc.gateways, tc.capacity, seed, newPacer)
-				x.check(t, tc.gateways, s.name)
-				if x.p90Delay > tc.maxP90Delay || x.neverUpdated > tc.maxNeverUpdated {
-					t.Errorf("%d gateways, %s: p90 delay %v, %d never updated, want at most %v and %d", tc.gateways, s.name, x.p90Delay, x.neverUpdated, tc.maxP90Delay, tc.maxNeverUpdated)
+				result := runScenario(s, tc.gateways, tc.capacity, seed, newPacer)
+				result.check(t, tc.gateways, s.name)
+				if result.p90Delay > tc.maxP90Delay || result.neverUpdated > tc.maxNeverUpdated {
+					t.Errorf("%d gateways, %s: p90 delay %v, %d never updated, want at most %v and %d",
+						tc.gateways, s.name, result.p90Delay, result.neverUpdated, tc.maxP90Delay, tc.maxNeverUpdated)
 				}
 			}
 		}
@@ -425,20 +437,22 @@
 // 50 ms. It reports the maximum and the 90th percentile of the seconds until a change is received, the gateways that
 // are never updated, the mean and the peak of the calls a second, and the wasted calls.
 func BenchmarkRetryPolicies(b *testing.B) {
-	former := func(first, most time.Duration) func(*rand.Rand) caller {
-		return func(r *rand.Rand) caller { return newPreviousPolicy(first, most, r) }
+	previous := func(firstPause, maxPause time.Duration) func(*rand.Rand) caller {
+		return func(r *rand.Rand) caller { return newPreviousPolicy(firstPause, maxPause, r) }
 	}
 	for _, c := range []deployment{{2, 4}, {30, 15}, {300, 150}, {300, 90}, {80, 16}} {
 		for _, s := range scenarios() {
-			for _, p := range []struct {
-				name string
-				make func(*rand.Rand) caller
-			}{{"now", newPacer}, {"4-16s", former(4*time.Second, 16*time.Second)}, {"50ms", former(50*time.Millisecond, 50*time.Millisecond)}} {
-				b.Run(fmt.Sprintf("%d at %.0f per s/%s/%s", c.gateways, c.capacity, s.name, p.name), func(b *testing.B) {
+			for _, policy := range []struct {
+				name      string
+				newCaller func(*rand.Rand) caller
+			}{{"current", newPacer}, {"4-16s", previous(4*time.Second, 16*time.Second)}, {"50ms", previous(50*time.Millisecond, 50*time.Millisecond)}} {
+				b.Run(fmt.Sprintf("%d at %.0f per s/%s/%s", c.gateways, c.capacity, s.name, policy.name), func(b *testing.B) {
 					for b.Loop() {
-						x := runScenario(s, c.gateways, c.capacity, 0, p.make)
-						for unit, v := range map[string]float64{"s-worst": x.maxDelay.Seconds(), "s-p90": x.p90Delay.Seconds(), "never": float64(x.neverUpdated),
-							"calls/s": x.meanCalls, "peak/s": x.peakCalls, "vain": float64(x.wasted)} {
+						result := runScenario(s, c.gateways, c.capacity, 0, policy.newCaller)
+						for unit, v := range map[string]float64{
+							"s-worst": result.maxDelay.Seconds(), "s-p90": result.p90Delay.Seconds(),
+							"never":   float64(result.neverUpdated),
+							"calls/s": result.meanCalls, "peak/s": result.peakCalls, "wasted": float64(result.wasted)} {
 							b.ReportMetric(v, unit)
 						}
 					}
--- a/internal/watch/pacer.go
+++ b/internal/watch/pacer.go
@@ -51,22 +51,23 @@
 
 const (
 	// AnswerTimeout is the time within which an agent's answer must be complete once it has begun. It equals the longest
-	// timeout of a call.
+	// timeout of a call that is not a watch.
 	AnswerTimeout = maxCallTimeout
 
 	// MaxUpdateDelay is the operators' limit for the time until a gateway receives a change. The package comment says how it
 	// is counted.
 	MaxUpdateDelay = 6 * time.Second
-	// answerReserve is the part of MaxUpdateDelay that is kept for the last call: its time in the queue, its
-	// answer, and the delivery of the list in the gateway.
+	// answerReserve is the part of MaxUpdateDelay that is kept for the last call: its time in the queue, its answer,
+	// and the delivery of the list in the gateway.
 	answerReserve = time.Second
 
+	// Defaults of Config. A watch needs a timeout because a discovery that is down does not answer.
 	watchWait         = 4 * time.Second        // how long a watch waits for changes
-	watchGrace        = 500 * time.Millisecond // a watch times out this long after its wait, as discovery that is down does not answer
+	watchGrace        = 500 * time.Millisecond // a watch times out this long after its wait
 	agentCheckTimeout = 200 * time.Millisecond // timeout of a call to an agent that is not a watch
-	// maxCallTimeout is the timeout of a call that is not a watch. Discovery also works on calls that timed out, and a caller that
-	// gives up while queued joins the end of the same queue. So the timeout covers a full queue, which was observed to be
-	// 2 s, and the round trip. A shorter configured timeout doubles up to this value. In the model with 300 gateways, an
+	// maxCallTimeout is the timeout of a call that is not a watch. Discovery also works on calls that timed out, and a caller
+	// that gives up while queued joins the end of the same queue. So the timeout covers a full queue, which was observed to
+	// be 2 s, and the round trip. A shorter configured timeout doubles up to this value. In the model with 300 gateways, an
 	// initial timeout of 1 s wasted up to 800 calls in 30 s, and 2.2 s wasted none.
 	maxCallTimeout = 2200 * time.Millisecond
 
@@ -129,7 +130,7 @@
 )
 
 // String returns the value of the outcome in metrics.
-func (e Outcome) String() string { return [...]string{"answered", "refused", "failed", "timed_out"}[e] }
+func (o Outcome) String() string { return [...]string{"answered", "refused", "failed", "timed_out"}[o] }
 
 // Result describes a completed call. Version, Full and Entries are set if it was answered.
 type Result struct {
@@ -184,15 +185,16 @@
 	return p
 }
 
-// resetBackoff resets the state after an answer. The refusal pause is only halved: a gateway that has just received an answer can
-// wait longer than one that has not.
+// resetBackoff resets the state after an answer. The refusal pause is only halved: a gateway that has just received an answer
+// can wait longer than one that has not.
 func (p *Pacer) resetBackoff() {
-	p.failing, p.callTimeout, p.retryPause, p.refusalPause, p.nextCallBy = false, p.cfg.CheckTimeout, RetryPause, max(p.refusalPause/2, FirstRefusalPause), 0
+	p.failing, p.callTimeout, p.retryPause, p.refusalPause, p.nextCallBy =
+		false, p.cfg.CheckTimeout, RetryPause, max(p.refusalPause/2, FirstRefusalPause), 0
 }
 
-// Next returns the call to make now. All times are offsets from one arbitrary moment. A watch can't distinguish a discovery that
-// is down from a server list that does not change. So after a failure the next call is a Check, which is answered at once.
-// After a refusal the watch itself is repeated: discovery is known to be up, and a Check would only add load.
+// Next returns the call to make now. All times are offsets from one arbitrary moment. A watch can't distinguish a discovery
+// that is down from a server list that does not change. So after a failure the next call is a Check, which is answered at
+// once. After a refusal the watch itself is repeated: discovery is known to be up, and a Check would only add load.
 func (p *Pacer) Next(now time.Duration) Call {
 	switch {
 	case !p.hasList:
@@ -224,7 +226,7 @@
 // onAnswer returns what to do after an answer.
 func (p *Pacer) onAnswer(now time.Duration, r Result) Step {
 	p.resetBackoff()
-	if p.hasList && !r.Full && r.Version < p.version { // discovery restarted its versions: its changes do not apply to the list held
+	if p.hasList && !r.Full && r.Version < p.version { // discovery restarted its versions; its changes do not apply here
 		p.hasList = false
 		return Step{}
 	}
@@ -242,16 +244,16 @@
 	return s
 }
 
-// onRefusal returns the pause after a refusal. Its limit doubles, because the number of calling gateways is not known here. It is
-// random, because equal pauses would make all gateways call again at once.
+// onRefusal returns the pause after a refusal. Its limit doubles, because the number of calling gateways is not known here.
+// The pause is random, because equal pauses would make all gateways call again at once.
 func (p *Pacer) onRefusal(now time.Duration) time.Duration {
-	most := p.refusalPause
+	limit := p.refusalPause
 	if p.nextCallBy > now { // little of MaxUpdateDelay is left, so this pause is short; the next one need not be
-		most = max(min(most, p.nextCallBy-now), RetryPause)
+		limit = max(min(limit, p.nextCallBy-now), RetryPause)
 	}
 	p.failing, p.nextCallBy = false, 0
 	p.refusalPause = min(2*p.refusalPause, MaxRefusalPause)
-	return p.jitter(most)
+	return p.jitter(limit)
 }
 
 // onTimeout returns the pause after a call that timed out.
@@ -277,14 +279,14 @@
 	return pause
 }
 
-// nextPause returns the upper limit of the pause after d: twice d, but at most most. With an agent it returns d. Calls to an agent
-// cost nothing, and a change that it gets when discovery returns must be received at once. For the same reason the timeout of
-// calls to an agent does not grow.
-func (p *Pacer) nextPause(d, most time.Duration) time.Duration {
+// nextPause returns the limit that follows d: 2 d, but at most maxPause. With an agent it returns d: calls to an agent cost
+// nothing, and a change that it gets when discovery returns must be received at once. For the same reason the timeout of calls
+// to an agent does not grow.
+func (p *Pacer) nextPause(d, maxPause time.Duration) time.Duration {
 	if p.cfg.Agent {
 		return d
 	}
-	return min(2*d, most)
+	return min(2*d, maxPause)
 }
 
 // jitter returns a random duration between d/2 and d.
--- a/internal/watch/pacer_test.go
+++ b/internal/watch/pacer_test.go
@@ -11,81 +11,80 @@
 
 // driver drives one Pacer on its own clock.
 type driver struct {
-	p    *Pacer
-	rng  *rand.Rand
-	now  time.Duration
-	call Call
+	pacer *Pacer
+	rng   *rand.Rand
+	now   time.Duration
+	call  Call
 }
 
 // next starts the next call.
-func (x *driver) next() { x.call = x.p.Next(x.now) }
+func (d *driver) next() { d.call = d.pacer.Next(d.now) }
 
 // finish ends the current call, passes the pause, and starts the next call.
-func (x *driver) finish(after time.Duration, r Result) {
-	x.now += after
-	x.now += x.p.Done(x.now, r).Pause
-	x.next()
+func (d *driver) finish(after time.Duration, r Result) {
+	d.now += after
+	d.now += d.pacer.Done(d.now, r).Pause
+	d.next()
 }
 
 // randomHistory ends up to 7 calls with random outcomes. They precede the moment from which the delay is counted.
-func (x *driver) randomHistory() {
-	for range x.rng.IntN(8) {
-		switch x.rng.IntN(4) {
+func (d *driver) randomHistory() {
+	for range d.rng.IntN(8) {
+		switch d.rng.IntN(4) {
 		case 0:
-			x.finish(x.call.Wait, Result{Outcome: Answered, Version: 1})
+			d.finish(d.call.Wait, Result{Outcome: Answered, Version: 1})
 		case 1:
-			x.finish(0, Result{Outcome: Refused})
+			d.finish(0, Result{Outcome: Refused})
 		case 2:
-			x.finish(0, Result{Outcome: Failed})
+			d.finish(0, Result{Outcome: Failed})
 		case 3:
-			x.finish(x.call.Timeout, Result{Outcome: TimedOut})
+			d.finish(d.call.Timeout, Result{Outcome: TimedOut})
 		}
 	}
 }
 
 // After any history, the call that returns a change must start early enough to keep MaxUpdateDelay. Discovery has the change and
-// is reachable from a random moment on. The call that is open then does not return it: a watch is silent, another call times
-// out, fails or is refused. The first call after that may be refused as well. The rest of MaxUpdateDelay is for the queue and
-// the answer.
+// is reachable from a random moment on. The call that is open then does not return it: it times out (a watch is silent), fails
+// or is refused. The first call after that may be refused as well. The rest of MaxUpdateDelay is for the queue and the answer.
 func TestRetryPathsKeepMaxUpdateDelay(t *testing.T) {
 	for _, agent := range []bool{false, true} {
 		worst := map[string]time.Duration{}
 		for seed := range uint64(20_000) {
-			x := &driver{p: New(Config{Agent: agent, HasList: true, Version: 1}, newRand(seed)), rng: newRand(seed + 1<<32)}
-			x.next()
-			x.randomHistory()
-			from := x.now // the worst case: the call has just started and does not return the change
-			silent := x.call.Kind == Watch
+			sim := &driver{pacer: New(Config{Agent: agent, HasList: true, Version: 1}, newRand(seed)), rng: newRand(seed + 1<<32)}
+			sim.next()
+			sim.randomHistory()
+			from := sim.now // the worst case: the call has just started and does not return the change
+			isWatch := sim.call.Kind == Watch
 			name := "call"
-			if silent {
+			if isWatch {
 				name = "watch"
 			}
-			switch x.rng.IntN(3) {
+			switch sim.rng.IntN(3) {
 			case 0:
 				name += " timed out"
-				x.finish(x.call.Timeout, Result{Outcome: TimedOut})
+				sim.finish(sim.call.Timeout, Result{Outcome: TimedOut})
 			case 1:
 				name += " failed"
-				x.finish(0, Result{Outcome: Failed})
+				sim.finish(0, Result{Outcome: Failed})
 			case 2:
 				name += " refused"
-				x.finish(0, Result{Outcome: Refused})
+				sim.finish(0, Result{Outcome: Refused})
 			}
-			worst[name] = max(worst[name], x.now-from)
+			worst[name] = max(worst[name], sim.now-from)
 			if name == "call refused" || name == "watch refused" {
 				continue
 			}
-			x.finish(0, Result{Outcome: Refused})
-			worst[name+", refused"] = max(worst[name+", refused"], x.now-from)
+			sim.finish(0, Result{Outcome: Refused})
+			worst[name+", refused"] = max(worst[name+", refused"], sim.now-from)
 		}
 		for name, d := range worst {
-			most := MaxUpdateDelay - answerReserve
+			limit := MaxUpdateDelay - answerReserve
 			if name == "call timed out" || name == "call failed" || name == "call refused" || name == "watch refused" {
-				most = 2500 * time.Millisecond // 4.5 s with a full queue of 2 s
+				limit = 2500 * time.Millisecond // 4.5 s with a full queue of 2 s
 			}
 			t.Logf("agent %v, %s: the next call starts after %v", agent, name, d)
-			if d > most {
-				t.Errorf("agent %v, %s: the next call starts after %v, want at most %v", agent, name, d, most)
+			if d > limit {
+				t.Errorf("agent %v, %s: the next call starts after %v, want at most %v", agent, name, d, limit)
 			}
 		}
 		if len(worst) != 10 {
@@ -102,17 +101,17 @@
 		agent bool
 		want  time.Duration
 	}{"agent": {true, agentCheckTimeout}, "no agent": {false, maxCallTimeout}} {
-		x := &driver{p: New(Config{Agent: tc.agent, CheckTimeout: agentCheckTimeout}, newRand(1))}
-		x.next()
+		sim := &driver{pacer: New(Config{Agent: tc.agent, CheckTimeout: agentCheckTimeout}, newRand(1))}
+		sim.next()
 		for range 8 {
-			last := x.call.Timeout
-			x.finish(last, Result{Outcome: TimedOut})
-			if x.call.Timeout != min(2*last, tc.want) {
-				t.Errorf("%s: the timeout is %v after one of %v", name, x.call.Timeout, last)
+			last := sim.call.Timeout
+			sim.finish(last, Result{Outcome: TimedOut})
+			if sim.call.Timeout != min(2*last, tc.want) {
+				t.Errorf("%s: the timeout is %v after one of %v", name, sim.call.Timeout, last)
 			}
 		}
-		if x.call.Timeout != tc.want {
-			t.Errorf("%s: the timeout is %v after eight calls that timed out, want %v", name, x.call.Timeout, tc.want)
+		if sim.call.Timeout != tc.want {
+			t.Errorf("%s: the timeout is %v after eight calls that timed out, want %v", name, sim.call.Timeout, tc.want)
 		}
 	}
 }
@@ -121,11 +120,11 @@
 func TestNextCallAfterOutcome(t *testing.T) {
 	const held = 41
 	for name, tc := range map[string]struct {
-		unheld bool
-		result Result
-		take   bool
-		err    error
-		next   Call
+		noList     bool
+		result     Result
+		hasChanges bool
+		err        error
+		next       Call
 	}{
 		"changes":            {false, Result{Outcome: Answered, Version: 42, Entries: 1}, true, nil, Call{Watch, 42, watchWait, watchWait + watchGrace}},
 		"no changes":         {false, Result{Outcome: Answered, Version: held}, false, nil, Call{Watch, held, watchWait, watchWait + watchGrace}},
@@ -138,10 +137,10 @@
 		"no list, changes":   {true, Result{Outcome: Answered, Version: 3, Entries: 1}, false, ErrNoBaseList, Call{FullList, 0, 0, maxCallTimeout}},
 		"no list, refused":   {true, Result{Outcome: Refused}, false, nil, Call{FullList, 0, 0, maxCallTimeout}},
 	} {
-		p := New(Config{HasList: !tc.unheld, Version: held}, newRand(1))
+		p := New(Config{HasList: !tc.noList, Version: held}, newRand(1))
 		p.Next(0)
 		s := p.Done(0, tc.result)
-		if s.HasChanges != tc.take || !errors.Is(s.Err, tc.err) {
+		if s.HasChanges != tc.hasChanges || !errors.Is(s.Err, tc.err) {
 			t.Errorf("%s: got %+v", name, s)
 		}
 		if next := p.Next(s.Pause); next != tc.next {
@@ -154,24 +153,24 @@
 // double up to their maximum. An answer with changes resets them.
 func TestImmediateEmptyAnswersCauseNoBusyLoop(t *testing.T) {
 	for _, tc := range []struct {
-		agent bool
-		most  time.Duration
+		agent    bool
+		maxPause time.Duration
 	}{{false, maxRetryPause}, {true, RetryPause}} {
-		x := &driver{p: New(Config{Agent: tc.agent, HasList: true, Version: 1}, newRand(1))}
-		x.next()
+		sim := &driver{pacer: New(Config{Agent: tc.agent, HasList: true, Version: 1}, newRand(1))}
+		sim.next()
 		var last time.Duration
 		for range 8 {
-			before := x.now
-			x.finish(0, Result{Outcome: Answered, Version: 1})
-			last = x.now - before
+			before := sim.now
+			sim.finish(0, Result{Outcome: Answered, Version: 1})
+			last = sim.now - before
 		}
-		if last < tc.most/2 || last > tc.most {
-			t.Errorf("agent %v: the eighth pause is %v, want %v to %v", tc.agent, last, tc.most/2, tc.most)
+		if last < tc.maxPause/2 || last > tc.maxPause {
+			t.Errorf("agent %v: the eighth pause is %v, want %v to %v", tc.agent, last, tc.maxPause/2, tc.maxPause)
 		}
-		x.finish(0, Result{Outcome: Answered, Version: 2, Entries: 1})
-		before := x.now
-		x.finish(0, Result{Outcome: Answered, Version: 2})
-		if d := x.now - before; d > RetryPause {
+		sim.finish(0, Result{Outcome: Answered, Version: 2, Entries: 1})
+		before := sim.now
+		sim.finish(0, Result{Outcome: Answered, Version: 2})
+		if d := sim.now - before; d > RetryPause {
 			t.Errorf("agent %v: the pause after changes is %v, want at most %v", tc.agent, d, RetryPause)
 		}
 	}
@@ -182,12 +181,12 @@
 // holds from the first call of a process on, because a process may start while discovery is down.
 func TestSilentAgentIsPolledWithinDrainGrace(t *testing.T) {
 	const grace, answer = 250 * time.Millisecond, 50 * time.Millisecond
-	x := &driver{p: New(Config{Agent: true, HasList: true, Version: 1}, newRand(1))}
-	x.next()
+	sim := &driver{pacer: New(Config{Agent: true, HasList: true, Version: 1}, newRand(1))}
+	sim.next()
 	for n := range 50 {
-		before := x.now
-		x.finish(x.call.Timeout, Result{Outcome: TimedOut})
-		if gap := x.now - before; gap > grace-answer {
+		before := sim.now
+		sim.finish(sim.call.Timeout, Result{Outcome: TimedOut})
+		if gap := sim.now - before; gap > grace-answer {
 			t.Fatalf("call %d timed out: the next one starts after %v, want at most %v", n+1, gap, grace-answer)
 		}
 	}
