--- a/cmd/sloepick/log_test.go
+++ b/cmd/sloepick/log_test.go
@@ -51,8 +51,8 @@
 	t.Error("the gateway did not answer PING in time")
 }
 
-// A gateway must keep serving and shut down cleanly when the reader of its log is gone (a write then fails with EPIPE and
-// raises SIGPIPE) or has stopped reading (a write then blocks once the pipe is full).
+// A gateway must keep serving and shut down cleanly when the reader of its log is gone (a write then fails with EPIPE
+// and raises SIGPIPE) or has stopped reading (a write then blocks once the pipe is full).
 func TestStalledLogDoesNotStopGateway(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[]}`)
--- a/cmd/sloepick/main.go
+++ b/cmd/sloepick/main.go
@@ -1,5 +1,6 @@
-// Command sloepick is an API gateway. It enforces customers' quotas together with its peers, selects a card server for each
-// request, and forwards the request over RESP2. Package decide makes the decisions; package gateway does the network I/O.
+// Command sloepick is an API gateway. It enforces customers' quotas together with its peers, selects a card server for
+// each request, and forwards the request over RESP2. Package decide makes the decisions; package gateway does the
+// network I/O.
 package main
 
 import (
@@ -20,8 +21,10 @@
 )
 
 const (
-	heapShare = 0.6 // Go heap as a share of the memory limit; the rest is for stacks, the runtime and kernel memory
-	gcPercent = 400 // above the default of 100: the live heap is small, so memory costs less than collections
+	// The soft memory limit of the Go runtime, as a share of the gateway's memory limit. The rest is for kernel memory
+	// and a margin: the runtime may exceed its limit.
+	memoryLimitShare = 0.6
+	gcPercent        = 400 // above the default of 100: the live heap is small, so memory costs less than collections
 
 	flushTimeout = 50 * time.Millisecond // for writing the last log lines at exit
 )
@@ -43,7 +46,7 @@
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.MemoryMB<<20)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	level, err := logging.ParseLevel(os.Getenv("GW_LOG"))
--- a/cmd/sloepick/main_test.go
+++ b/cmd/sloepick/main_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// TestMain runs main if SLOEPICK_TEST_MAIN is set. So the test binary also serves as the program, and tests can start and stop
-// real processes.
+// TestMain runs main if SLOEPICK_TEST_MAIN is set. So the test binary also serves as the program, and tests can start
+// and stop real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("SLOEPICK_TEST_MAIN") != "" {
 		main()
@@ -26,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// newGatewayCommand returns a command that runs the gateway with the given configuration and additional environment variables.
+// newGatewayCommand returns a command that runs the gateway with the given configuration and additional environment
+// variables.
 func newGatewayCommand(t *testing.T, config string, env ...string) *exec.Cmd {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -38,8 +39,8 @@
 	return cmd
 }
 
-// A missing or invalid configuration must end the program with one line on stderr and exit code 1. A stack trace, or a gateway
-// that runs but can't serve, would hide the cause.
+// A missing or invalid configuration must end the program with one line on stderr and exit code 1. A stack trace, or a
+// gateway that runs but can't serve, would hide the cause.
 func TestUnusableConfigFailsWithOneLine(t *testing.T) {
 	for name, cmd := range map[string]*exec.Cmd{
 		"no config":  newGatewayCommand(t, "", "GW_CONFIG="),
@@ -120,8 +121,8 @@
 	}
 }
 
-// After SIGHUP the process must call discovery at the address in the configuration file, even if GW_DISCOVERY is set. An
-// invalid file must cause one log line and change nothing. Without a handler SIGHUP would end the process.
+// After SIGHUP the process must call discovery at the address in the configuration file, even if GW_DISCOVERY is set.
+// An invalid file must cause one log line and change nothing. Without a handler SIGHUP would end the process.
 func TestSighupMovesDiscovery(t *testing.T) {
 	called := make(chan string, 64)
 	newDiscovery := func(name string) string {
--- a/cmd/sloepick/reload.go
+++ b/cmd/sloepick/reload.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// When the signal arrives, the configuration file may be half written, or reading it may fail transiently. Loading is then
-// retried. The gateway has to use the new discovery address 4 s after the signal, so the interval is short and the timeout is
-// longer than 4 s.
+// When the signal arrives, the configuration file may be half written, or reading it may fail transiently. Loading is
+// then retried. The gateway has to use the new discovery address 4 s after the signal, so the interval is short and the
+// timeout is longer than 4 s.
 const (
 	reloadRetryInterval = 50 * time.Millisecond
 	reloadTimeout       = 15 * time.Second
--- a/cmd/sloepick/reload_test.go
+++ b/cmd/sloepick/reload_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Loading the configuration fails three times after the signal. It is retried until it succeeds, and the new address is sent
-// once. Without retries a half-written file would cancel the reload.
+// Loading the configuration fails three times after the signal. It is retried until it succeeds, and the new address is
+// sent once. Without retries a half-written file would cancel the reload.
 func TestFailedReloadIsRetried(t *testing.T) {
 	want := netip.MustParseAddrPort("127.0.0.1:9")
 	attempts := 0
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,6 +1,6 @@
 // Command wirehost runs gateways of package decide on a simulator. It reads batches of events from standard input, one
-// JSON object a line, and writes one reply for each batch to standard output. It only translates between the simulator's
-// messages and the types of package decide; it makes no decisions.
+// JSON object a line, and writes one reply for each batch to standard output. It only translates between the
+// simulator's messages and the types of package decide; it makes no decisions.
 package main
 
 import (
--- a/cmd/wirehost/wire.go
+++ b/cmd/wirehost/wire.go
@@ -65,8 +65,8 @@
 	return json.Marshal(r)
 }
 
-// event hands one event to its gateway and returns the actions as messages of the simulator's protocol. Events of unknown
-// types, and events for gateways that are unknown or could not be started, are ignored.
+// event hands one event to its gateway and returns the actions as messages of the simulator's protocol. Events of
+// unknown types, and events for gateways that are unknown or could not be started, are ignored.
 func (h *host) event(i int, now time.Duration, raw json.RawMessage) ([]any, error) {
 	var head struct {
 		M string `json:"m"`
--- a/decide/api.go
+++ b/decide/api.go
@@ -104,8 +104,8 @@
 	DrainGrace   time.Duration
 	ColdFrom     float64       // fraction of its capacity that a server has at least when it has just started
 	ColdFor      time.Duration // time after its start by which a server is warm
-	FallMultiple float64       // work beyond this multiple of its present capacity ...
-	FallWindow   time.Duration // ... for this long makes a server fall over
+	FallMultiple float64       // work over this multiple of present capacity for FallWindow makes a server fall over
+	FallWindow   time.Duration // see FallMultiple
 	AskWithin    time.Duration // with Subscribe: how long a list stays valid without being fetched
 }
 
@@ -364,10 +364,10 @@
 	// Send starts an attempt. A request's attempts are numbered from 0.
 	Send struct {
 		ID, Server  string
-		Timeout     time.Duration // 0: until the client leaves
+		Timeout     time.Duration // 0: until the client gives up
 		WriteBefore time.Duration // nothing of the attempt may be written after this time; 0: no such limit
 	}
-	// Cancel cancels an attempt.
+	// Cancel stops waiting for an attempt. The server may still work on it.
 	Cancel struct {
 		ID      string
 		Attempt int
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -54,13 +54,13 @@
 // Exchange between peers.
 const (
 	// Fraction of the configured message rate limit (Config.PeerIntake) that all peers together use.
-	intakeFraction = 0.8
+	messageRateFraction = 0.8
 	// Demand that has not been sent to the peers yet is sent once it exceeds this fraction of the burst.
 	demandStep = 0.25
 	// An idle gateway still sends each peer a message this often, to show that it is alive.
 	idleHeartbeat = 400 * time.Millisecond
 	// Shortest interval between two heartbeats, however high the message rate limit is.
-	minHeartbeat = time.Millisecond
+	minHeartbeatInterval = time.Millisecond
 )
 
 // Quota owners. They are used where the message rate limit is too low for broadcasts.
@@ -72,7 +72,7 @@
 	ownersPerCustomer = 2
 	// Fraction of the message rate limit that is meant for queries to owners. Above it, refused customers
 	// have to wait longer.
-	queryIntakeFraction = 0.4
+	queryRateFraction = 0.4
 	// Round trip to an owner that is assumed until one has been measured.
 	initialRoundTrip = 30 * time.Millisecond
 	// A query times out after queryTimeoutFactor times the usual round trip plus queryTimeoutMargin. The
@@ -82,7 +82,7 @@
 	// An owner that left two queries unanswered gets no further queries for this long.
 	ownerBackoff = 1 * time.Second
 	// An owner remembers its decisions for this long.
-	grantTTL = 3 * time.Second
+	ownerDecisionTTL = 3 * time.Second
 	// A grant under a hard ceiling has to be used within this time. The slack of the ceiling covers the
 	// delay.
 	maxGrantAge = 100 * time.Millisecond
@@ -107,7 +107,7 @@
 	// few answers are enough to tell.
 	slownessGain = 0.2
 	// Usual time of a class before any answer, as a fraction of its target latency (Class.Aim).
-	initialTimeFraction = 0.2
+	initialUsualTimeFraction = 0.2
 	// Shortest time constant with which slowness decays towards 1. It decays so that servers that are not
 	// used get another try.
 	minHealthMemory = 2 * time.Second
@@ -148,8 +148,8 @@
 	// Fraction of the shortest target latency. Work in flight is capped at what the servers answer in that
 	// time; see overload.
 	openWorkFraction = 0.7
-	// Attempts in flight per server, over all gateways, that never count as overload: so many can coincide by
-	// chance.
+	// The cap on work in flight is at least this many attempts per server, over all gateways: so many can
+	// coincide by chance.
 	minOpenPerServer = 8.0
 	// Subtracted from the target latency, as the answer has to be back at the client within it.
 	targetMargin = 6 * time.Millisecond
@@ -165,9 +165,9 @@
 	sparseOpenAllowance = 4.0
 	// Fraction of the cap on work in flight above which the least valuable requests are shed.
 	shedThreshold = 0.25
-	// Where traffic is sparse, each unanswered request, observed here or reported by a peer, multiplies the
-	// admission window by windowDecrease, and each answered one by windowIncrease. The window stays the same
-	// where one request of six is unanswered.
+	// Each unanswered request, observed here or reported by a peer, multiplies the admission window by
+	// windowDecrease, and each answered one by windowIncrease. The window stays the same where one request of
+	// six is unanswered. It limits admission only as far as traffic is sparse.
 	windowDecrease = 0.85
 	windowIncrease = 1.03
 	// Smallest admission window. It lets in enough to find out that an overload is over.
@@ -197,7 +197,7 @@
 	case AnswerStarted:
 		if a := g.attempt(e.ID, e.Attempt); a != nil {
 			g.requests[e.ID].streaming = true
-			a.server.lastAnswer = g.now
+			a.server.lastResponse = g.now
 		}
 	case AttemptEnded:
 		g.onAttemptEnded(e)
@@ -231,8 +231,9 @@
 // updateQuota brings a customer's buckets, ceiling tokens and share up to the current time.
 //
 // The share is this gateway's part of the demand of all gateways, and never less than an even share. In owner
-// mode the total demand is the one that the owner reported. In broadcast mode it is the sum of what the peers
-// reported. If a peer is silent, the share follows the meter, or is even where the meter reports nothing.
+// mode the total demand is the one that the owner reported, if that was within rateMemory. In broadcast mode
+// it is the sum of what the peers reported. Where it is not known, as with a silent peer, the share follows
+// the meter, or is even where the meter reports nothing.
 func (g *Gateway) updateQuota(c *customer) {
 	elapsed := (g.now - c.updatedAt).Seconds()
 	c.updatedAt = g.now
@@ -358,7 +359,7 @@
 // Without peers nothing is sent, and the limit does not matter.
 func (g *Gateway) canBroadcast() bool {
 	return !g.cfg.Limits.Peers ||
-		intakeFraction*g.cfg.PeerIntake >= minBroadcastRate*float64(g.cfg.Gateways-1)
+		messageRateFraction*g.cfg.PeerIntake >= minBroadcastRate*float64(g.cfg.Gateways-1)
 }
 
 // heartbeatInterval returns the interval between two heartbeats. In broadcast mode it is as short as the
@@ -367,8 +368,8 @@
 	if !g.broadcasts {
 		return maintenanceInterval
 	}
-	perSecond := intakeFraction * g.cfg.PeerIntake / float64(max(1, g.cfg.Gateways-1))
-	return max(minHeartbeat, time.Duration(float64(time.Second)/max(perSecond, 1)))
+	perSecond := messageRateFraction * g.cfg.PeerIntake / float64(max(1, g.cfg.Gateways-1))
+	return max(minHeartbeatInterval, time.Duration(float64(time.Second)/max(perSecond, 1)))
 }
 
 // queueForPeers queues the totals of a customer for the gateways with numbers from "from" to below "to" that
@@ -449,8 +450,8 @@
 }
 
 // applyEntry adds what an entry of a peer's message reports of a customer. The differences from the previous
-// totals count. The first totals after a gap only serve as the base for the next ones; after a restart of the
-// peer its totals count from 0.
+// totals count. The first totals after a gap are the base for the next ones, and of these first ones only the
+// level counts, if it is above the known one. After a restart of the peer its totals count from 0.
 func (g *Gateway) applyEntry(from int, p *peer, entry string) {
 	customerKey, planNo, used, demand, level := parseEntry(entry)
 	if planNo >= len(g.cfg.Plans) {
@@ -493,8 +494,8 @@
 // bucket decides, but nothing is admitted under a hard ceiling.
 func (g *Gateway) queryOwner(r *request) {
 	c := r.customer
-	for ; r.ownerTries < 2*ownersPerCustomer && g.now < r.cutoff; r.ownerTries++ {
-		owner := g.owner(c.key, r.ownerTries/2)
+	for ; r.ownerTurns < 2*ownersPerCustomer && g.now < r.cutoff; r.ownerTurns++ {
+		owner := g.owner(c.key, r.ownerTurns/2)
 		if owner == g.cfg.Rank {
 			ok, _ := g.decideAsOwner(c, owner, r.queryNo, r.units)
 			r.grantedBy = owner
@@ -504,7 +505,7 @@
 		if g.silentUntil[owner] > g.now {
 			continue
 		}
-		r.ownerTries++
+		r.ownerTurns++
 		if r.awaitingOwner = true; r.firstQueryAt == 0 {
 			r.firstQueryAt = g.now
 		}
@@ -527,8 +528,8 @@
 		g.setTimer(r.ID, -1, min(r.cutoff, g.now+queryTimeoutMargin))
 		return
 	}
-	if r.ownerTries%2 == 0 {
-		g.silentUntil[g.owner(r.customer.key, r.ownerTries/2-1)] = g.now + ownerBackoff
+	if r.ownerTurns%2 == 0 {
+		g.silentUntil[g.owner(r.customer.key, r.ownerTurns/2-1)] = g.now + ownerBackoff
 	}
 	delete(g.queries, r.queryNo)
 	g.queryOwner(r)
@@ -541,15 +542,16 @@
 	units float64) (ok bool, wait float64) {
 	g.updateQuota(c)
 	inFlight := 0
-	for i := range c.grants {
-		decision := &c.grants[i]
+	for i := range c.ownerDecisions {
+		decision := &c.ownerDecisions[i]
 		if decision.from == from && decision.queryNo == queryNo {
-			return decision.granted, c.wait
+			return decision.granted, c.ownerWait
 		}
 		decision.open = decision.open && (g.now-decision.decidedAt).Seconds() < g.shortestTarget
 		inFlight += boolToInt(decision.open)
 	}
-	c.grants = slices.DeleteFunc(c.grants, func(d grant) bool { return g.now-d.decidedAt > grantTTL })
+	c.ownerDecisions = slices.DeleteFunc(c.ownerDecisions,
+		func(d ownerDecision) bool { return g.now-d.decidedAt > ownerDecisionTTL })
 	c.ownerDemand.add(g.now, units)
 	ok = (c.plan.Rate == 0 || c.sharedLevel+units <= c.plan.Burst) &&
 		(c.plan.MaxOpen == 0 || inFlight < c.plan.MaxOpen) &&
@@ -558,14 +560,14 @@
 		c.sharedLevel += units
 		c.ceilingTokens -= units
 	}
-	if !ok && g.queryRate.get(g.now) > queryIntakeFraction*g.cfg.PeerIntake {
-		c.wait = min(maxWait.Seconds(), max(c.wait, minWait)*waitIncrease)
+	if !ok && g.queryRate.get(g.now) > queryRateFraction*g.cfg.PeerIntake {
+		c.ownerWait = min(maxWait.Seconds(), max(c.ownerWait, minWait)*waitIncrease)
 	} else {
-		c.wait *= waitDecrease
+		c.ownerWait *= waitDecrease
 	}
-	c.grants = append(c.grants, grant{from: from, queryNo: queryNo, decidedAt: g.now, granted: ok,
-		open: ok && c.plan.MaxOpen > 0})
-	return ok, c.wait
+	c.ownerDecisions = append(c.ownerDecisions, ownerDecision{from: from, queryNo: queryNo,
+		decidedAt: g.now, granted: ok, open: ok && c.plan.MaxOpen > 0})
+	return ok, c.ownerWait
 }
 
 // settleWithOwner reports the end of a request to the owner that granted it: the units used beyond those
@@ -584,8 +586,8 @@
 // settleGrant applies, as an owner, the report of the end of a request that it has granted. A second report
 // of the same request has no effect.
 func (g *Gateway) settleGrant(c *customer, from int, queryNo uint64, extraUnits float64) {
-	for i := range c.grants {
-		if d := &c.grants[i]; d.from == from && d.queryNo == queryNo && d.granted && !d.settled {
+	for i := range c.ownerDecisions {
+		if d := &c.ownerDecisions[i]; d.from == from && d.queryNo == queryNo && d.granted && !d.settled {
 			g.updateQuota(c)
 			c.addPeerUse(extraUnits)
 			d.open, d.settled = false, true
@@ -633,7 +635,7 @@
 	}
 	ok, sharedLevel := msg.values[0] > 0, msg.values[1]
 	delete(g.queries, msg.queryNo)
-	if r.ownerTries == 1 {
+	if r.ownerTurns == 1 {
 		g.ownerRoundTrip += time.Duration(0.1 * float64(g.now-r.firstQueryAt-g.ownerRoundTrip))
 	}
 	r.awaitingOwner = false
@@ -712,7 +714,7 @@
 func (g *Gateway) healthMemory() float64 {
 	return min(maxHealthMemory,
 		max(minHealthMemory.Seconds(),
-			memoryAnswers*g.summary.serving/max(g.observationRate.get(g.now), 1e-3)))
+			memoryAnswers*g.summary.servingCount/max(g.observationRate.get(g.now), 1e-3)))
 }
 
 // missRate returns the fraction of a class's requests that a server leaves unanswered or fails. It decays
@@ -731,11 +733,11 @@
 // first. It could harm a server that received only costly requests.
 func (g *Gateway) observe(s *server, k *class, relativeTime float64, missed, failed bool) {
 	g.observationRate.add(g.now, 1)
-	share, target := g.missRate(s, k), 0.0
+	missRate, target := g.missRate(s, k), 0.0
 	if missed {
 		target = 1
 	}
-	s.missRates[k.index] = decayingRate{share + missGain*(1+g.sparseTraffic())*(target-share), g.now}
+	s.missRates[k.index] = decayingRate{missRate + missGain*(1+g.sparseTraffic())*(target-missRate), g.now}
 	if missed && !failed {
 		g.admissionWindow = max(minWindow, g.admissionWindow*windowDecrease)
 	} else if !missed {
@@ -766,7 +768,7 @@
 func (g *Gateway) load(s *server) float64 {
 	for len(s.abandoned) > 0 && g.now-s.abandoned[0] > abandonedTTL {
 		s.abandoned = s.abandoned[1:]
-		g.summary.open--
+		g.summary.openWork--
 	}
 	return float64(s.inFlight + len(s.abandoned))
 }
@@ -845,8 +847,8 @@
 		if s.State != Serving {
 			continue
 		}
-		summary.serving++
-		summary.open += g.load(s)
+		summary.servingCount++
+		summary.openWork += g.load(s)
 		summary.capacity += g.capacity(s)
 		summary.answers += s.answers.get(g.now)
 		summary.warm += boolToInt(s.coldUntil <= g.now)
@@ -952,7 +954,7 @@
 // sparseTraffic returns 1 where this gateway gets fewer answers within rateMemory than there are servers.
 // With more answers it falls towards 0.
 func (g *Gateway) sparseTraffic() float64 {
-	return min(1, g.summary.serving/max(g.answerRate.get(g.now)*rateMemory.Seconds(), 1))
+	return min(1, g.summary.servingCount/max(g.answerRate.get(g.now)*rateMemory.Seconds(), 1))
 }
 
 // ---- Attempts and deadlines.
@@ -1044,10 +1046,10 @@
 // that they should take. It limits the wait whatever the servers can do, and it falls when they are
 // overloaded. A few attempts are always allowed, to find out that an overload is over.
 func (g *Gateway) overload() float64 {
-	servers := g.summary.serving
+	serverCount := g.summary.servingCount
 	limit := g.answerRate.get(g.now) / g.observedFraction() * openWorkFraction * g.shortestTarget
-	return max(0, g.summary.open-sparseOpenAllowance*g.sparseTraffic()) /
-		max(limit, minOpenPerServer*servers/float64(g.cfg.Gateways))
+	return max(0, g.summary.openWork-sparseOpenAllowance*g.sparseTraffic()) /
+		max(limit, minOpenPerServer*serverCount/float64(g.cfg.Gateways))
 }
 
 // shouldShed reports whether a request is shed because the expected wait is too long for its value. Requests
@@ -1085,7 +1087,7 @@
 		s.idleConns = 0
 	}
 	s.idleConns = max(0, s.idleConns-1)
-	g.summary.open++
+	g.summary.openWork++
 	g.emit(Send{r.ID, s.ID, max(r.cutoff-g.now, time.Millisecond), r.repeatDeadline()})
 	if g.now+overdueAfter < r.cutoff {
 		g.setTimer(r.ID, a.index, g.now+overdueAfter)
@@ -1098,7 +1100,7 @@
 	s := a.server
 	// Counted as failed, which does not shrink the admission window: the answer may still come.
 	g.observeOwn(s, r.class, g.now-a.sentAt, true, true)
-	if s.lastAnswer > a.sentAt {
+	if s.lastResponse > a.sentAt {
 		return
 	}
 	if r.finished || r.streaming || g.retryBudget < 1 || r.class.Effect == Unsafe {
@@ -1139,7 +1141,7 @@
 	a.mayHaveRun = !e.Outcome.NeverRan()
 	r.inFlight--
 	a.server.inFlight--
-	g.summary.open--
+	g.summary.openWork--
 	r.customer.open--
 	g.observeOutcome(r, a, e)
 	if e.ActualUnits > 0 && g.cfg.SettledLater {
@@ -1176,19 +1178,19 @@
 	}
 	switch e.Outcome {
 	case OK:
-		s.lastAnswer = g.now
+		s.lastResponse = g.now
 		g.answerRate.add(g.now, 1)
 		s.answers.add(g.now, 1)
 		before := len(s.abandoned)
 		s.abandoned = slices.DeleteFunc(s.abandoned, func(at time.Duration) bool { return at < a.sentAt })
-		g.summary.open -= float64(before - len(s.abandoned))
+		g.summary.openWork -= float64(before - len(s.abandoned))
 		g.observeOwn(s, r.class, e.Elapsed, false, false)
 	case Error:
 		g.observeOwn(s, r.class, e.Elapsed, true, true)
-		s.lastAnswer = g.now
+		s.lastResponse = g.now
 	case Full:
 		g.observeOwn(s, r.class, e.Elapsed, true, false) // a full queue is a sign of overload as well
-		s.lastAnswer = g.now
+		s.lastResponse = g.now
 	case NoConnection, Reset:
 		g.observeOwn(s, r.class, e.Elapsed, true, true)
 	case TimedOut, Cancelled:
@@ -1196,7 +1198,7 @@
 			g.observeOwn(s, r.class, e.Elapsed, true, false)
 		}
 		s.abandoned = append(s.abandoned, a.sentAt)
-		g.summary.open++
+		g.summary.openWork++
 	}
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -161,12 +161,12 @@
 }
 
 // testEntry encodes the usage of one customer for a broadcast message. The level is in digits of a message.
-func testEntry(key string, plan, used, asked, level int) string {
+func testEntry(key string, plan, used, demand, level int) string {
 	var b strings.Builder
 	encode(&b, hashKey(key), 6)
 	encode(&b, uint64(plan), 1)
 	encode(&b, uint64(used), 2)
-	encode(&b, uint64(asked), 2)
+	encode(&b, uint64(demand), 2)
 	encode(&b, uint64(level), 1)
 	return b.String()
 }
@@ -372,7 +372,8 @@
 }
 
 // A connection may come up late, when servers have ceased to drop a repeat of a keyed request. So the gateway tells its
-// host until when a repeat may be written. First attempts and requests that are safe to repeat have no such limit.
+// host until when a repeat may be written. Attempts that servers need not drop as a repeat, and requests that are
+// safe to repeat, have no such limit.
 func TestWriteBeforeKeepsKeyedRepeatsWithinWindow(t *testing.T) {
 	for class, limited := range map[string]bool{"putall": true, "put": true, "get": false} {
 		h := newHarness(t, func(c *Config) { c.Limits.Parallel = true })
@@ -567,7 +568,7 @@
 // Cancelled attempts must count as load for a while, as servers may still work on them.
 func TestAbandonedAttemptsCountAsLoad(t *testing.T) {
 	h := newHarness(t, nil)
-	for range int(sparseOpenAllowance+minOpenPerServer) + 1 { // one above the limit for three servers and three gateways
+	for range int(sparseOpenAllowance+minOpenPerServer) + 1 { // one above the limit, for 3 servers and 3 gateways
 		id, actions := h.request("get", "wide", "c", 1)
 		if s := actionsOf[Send](actions); len(s) == 1 {
 			h.endAttempt(id, 0, s[0].Server, Cancelled)
@@ -800,8 +801,8 @@
 	return out
 }
 
-// FuzzPeerMessage hands arbitrary text to the parser of peer messages. It must not panic, and no shared level may become
-// negative.
+// FuzzPeerMessage hands arbitrary text to the parser of peer messages. It must not panic, and no shared level may
+// become negative.
 func FuzzPeerMessage(f *testing.F) {
 	f.Add(testMessage(1, 1, testEntry("x", 1, 5, 5, 5)))
 	f.Add(testMessage(4095, 4095))
@@ -960,7 +961,7 @@
 	}
 	wait := actionsOf[Refuse](actions)[0].RetryAfter
 	c := h.g.customers[hashKey("x")]
-	asked := c.demand
+	demandBefore := c.demand
 	for _, at := range []time.Duration{wait * 9 / 10, wait * 11 / 10} {
 		then := *c
 		h.g.now = h.now + at
@@ -969,7 +970,7 @@
 			t.Errorf("the retry-after time is %v; room after %v: %v", wait, at, then.hasRoom(1))
 		}
 	}
-	if c.demand != asked || wait <= 0 {
+	if c.demand != demandBefore || wait <= 0 {
 		t.Errorf("the retry-after time is %v, want more than 0; or the check changed the demand", wait)
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// While traffic shifts between gateways, all of them together must admit no more than about rate and burst, in small and
-// in large fleets. Of what is within the quota they must admit most.
+// While traffic shifts between gateways, all of them together must admit no more than about rate and burst, in small
+// and in large fleets. Of what is within the quota they must admit most.
 func TestQuotaHoldsOverTheFleet(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		for _, demand := range []float64{0.5, 4} { // as a multiple of the rate
@@ -141,8 +141,8 @@
 	}
 }
 
-// One customer asks for many times its quota at 300 gateways. Their messages to one another must stay within the message
-// rate limit of each.
+// One customer asks for many times its quota at 300 gateways. Their messages to one another must stay within the
+// message rate limit of each.
 func TestPeerMessageRateLimitHolds(t *testing.T) {
 	f := newGatewayFleet(t, 300, nil)
 	f.run(12*time.Second, 4*ms, "small", 2, func(int) int { return f.rnd.Intn(300) })
--- a/decide/fuzz_test.go
+++ b/decide/fuzz_test.go
@@ -323,9 +323,9 @@
 			len(h.g.queries), len(h.g.timers), len(h.open))
 	}
 	for _, c := range h.g.customers {
-		if c.throttledUntil > h.now+maxWait || len(c.grants) > h.messageCount+h.requestCount {
+		if c.throttledUntil > h.now+maxWait || len(c.ownerDecisions) > h.messageCount+h.requestCount {
 			h.t.Fatalf("a customer is throttled for %v and has %d grants after %d messages and %d requests",
-				c.throttledUntil-h.now, len(c.grants), h.messageCount, h.requestCount)
+				c.throttledUntil-h.now, len(c.ownerDecisions), h.messageCount, h.requestCount)
 		}
 	}
 }
@@ -509,14 +509,14 @@
 			h.t.Fatalf("%q has no final answer", id)
 		}
 	}
-	for _, v := range []float64{h.g.admissionWindow, h.g.retryBudget, h.g.typicalValue, h.g.summary.open,
+	for _, v := range []float64{h.g.admissionWindow, h.g.retryBudget, h.g.typicalValue, h.g.summary.openWork,
 		h.g.answerRate.value, h.g.observationRate.value, h.g.queryRate.value} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			h.t.Fatalf("the engine's state holds the value %v", v)
 		}
 	}
 	for _, c := range h.g.customers {
-		if v := c.bucketLevel + c.sharedLevel + c.share + c.ceilingTokens + c.totalDemand + c.wait; math.IsNaN(v) ||
+		if v := c.bucketLevel + c.sharedLevel + c.share + c.ceilingTokens + c.totalDemand + c.ownerWait; math.IsNaN(v) ||
 			math.IsInf(v, 0) || c.open != 0 {
 			h.t.Fatalf("a customer has a value that is out of range, or open attempts: %+v", c)
 		}
@@ -633,14 +633,14 @@
 		var b strings.Builder
 		encodeHeader(&b, epoch, seq)
 		for s := text[msgHeaderLen:]; s != ""; s = s[msgEntryLen:] {
-			key, plan, used, asked, level := parseEntry(s[:msgEntryLen])
-			if used > 4095 || asked > 4095 || plan > 63 || level < 0 || level > 63/levelSteps {
-				t.Fatalf("%q: %d %d %d %v are out of bounds", text, plan, used, asked, level)
+			key, plan, used, demand, level := parseEntry(s[:msgEntryLen])
+			if used > 4095 || demand > 4095 || plan > 63 || level < 0 || level > 63/levelSteps {
+				t.Fatalf("%q: %d %d %d %v are out of bounds", text, plan, used, demand, level)
 			}
 			encode(&b, key, 6)
 			encode(&b, uint64(plan), 1)
 			encode(&b, uint64(used), 2)
-			encode(&b, uint64(asked), 2)
+			encode(&b, uint64(demand), 2)
 			encode(&b, uint64(math.Round(level*levelSteps)), 1)
 		}
 		if b.String() != text {
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -69,8 +69,8 @@
 	weights             []float64   // part of its requests at each of its gateways
 	offered             quotaBucket // the bucket that one gateway would keep if it saw all requests
 	sent                quotaBucket // the bucket charged with what the gateways sent
-	reference           quotaBucket // the bucket charged with what the reference policy sent ...
-	referenceView       quotaBucket // ... and what the reference policy sees of it
+	reference           quotaBucket // the bucket charged with what the reference policy sent
+	referenceView       quotaBucket // that bucket as the reference policy sees it, with its delay
 	notYetSeen          []referenceSend
 }
 
@@ -331,8 +331,8 @@
 	}
 }
 
-// A settlement that comes twice must count once. An owner must apply the plan that the latest query names, whatever plan
-// earlier messages named.
+// A settlement that comes twice must count once. An owner must apply the plan that the latest query names, whatever
+// plan earlier messages named.
 func TestSettlementCountsOnceAndLatestPlanApplies(t *testing.T) {
 	cfg := testConfig()
 	cfg.Gateways, cfg.PeerIntake, cfg.Limits.Peers = 300, 100, true
@@ -349,14 +349,14 @@
 	}
 	send('a', 0, 7, 1)
 	c := g.customers[key]
-	if c == nil || len(c.grants) != 1 {
+	if c == nil || len(c.ownerDecisions) != 1 {
 		t.Fatal("the owner query left no record of its answer")
 	}
 	before := c.sharedLevel
 	send('d', 0, 7, 2)
 	once := c.sharedLevel
 	send('d', 0, 7, 2)
-	if !c.grants[0].granted || once != before+2 || c.sharedLevel != once {
+	if !c.ownerDecisions[0].granted || once != before+2 || c.sharedLevel != once {
 		t.Errorf("shared level: %v before a settlement, %v after it, %v after the same again", before, once,
 			c.sharedLevel)
 	}
--- a/decide/slowstart_fleet_test.go
+++ b/decide/slowstart_fleet_test.go
@@ -28,11 +28,11 @@
 	starting        int           // how many of the rampServers servers start at rampStart
 	rejoin          bool          // they have served before, under the same id
 	restartEvery    time.Duration // they restart at this interval
-	stalledPart     float64       // part of the warm servers that stalls ...
-	stallAt         time.Duration // ... from this time on ...
-	stallDuration   time.Duration // ... for this long
-	burstFactor     float64       // multiple of the demand ...
-	burstAt         time.Duration // ... from this time on, for 3 s
+	stalledPart     float64       // part of the warm servers that stalls
+	stallAt         time.Duration // when they stall
+	stallDuration   time.Duration // how long they stall
+	burstFactor     float64       // multiple of the demand during a burst
+	burstAt         time.Duration // start of the burst, which takes 3 s
 	gatewayRestarts bool          // a third of the gateways restart within 3 s of stallAt
 	delayedLists    bool          // each gateway is notified of changes at a time of its own, within rampMaxListDelay
 	delayedConns    bool          // a third of the new connections are delayed by up to rampMaxConnectDelay
@@ -50,7 +50,7 @@
 	eventCount        int            // events scheduled so far, to keep the order of those at the same time
 	gateways          []*Gateway
 	incarnations      []int     // number of starts of each gateway; events for a former incarnation are dropped
-	cumulativeWeights []float64 // cumulative, to pick a gateway at random
+	cumulativeWeights []float64 // running sums of the gateways' weights, to pick a gateway at random
 	servers           []*rampServer
 	byName            map[string]*rampServer
 	requests          map[string]*rampRequest // all requests, by ID
@@ -482,6 +482,7 @@
 
 // A server drains during some seconds of its slow start, so that gateways can send it nothing. If each gateway kept one
 // slow-start token until the server serves again, all of them together would send it more than it can take at once.
+// What they may send it at once must be no more than it can take.
 func TestSlowStartTokensAreNotHoarded(t *testing.T) {
 	const servers, requestsPerSecond, drainTime = 12, 300, 6 * time.Second
 	for _, n := range []int{2, 6, 20, 30, 80, 300} {
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The wall clocks of machines may be off by seconds or by an hour. When the gateway observes that a server is new or has
-// restarted, slow start must last as long as the settings say, whatever start time the list names.
+// The wall clocks of machines may be off by seconds or by an hour. When the gateway observes that a server is new or
+// has restarted, slow start must last as long as the settings say, whatever start time the list names.
 func TestSlowStartIgnoresClockOffset(t *testing.T) {
 	const updateDelay = 500 * ms // between the start and the update that reports it
 	offsets := map[string]time.Duration{"right": 0, "10 s behind": -10 * time.Second, "10 s ahead": 10 * time.Second,
--- a/decide/state.go
+++ b/decide/state.go
@@ -157,13 +157,13 @@
 	// Requests are refused without a query until this time, as the owner demanded.
 	throttledUntil time.Duration
 	// As an owner: recent decisions on requests of the customer.
-	grants []grant
+	ownerDecisions []ownerDecision
 	// As an owner: seconds that refused customers should wait.
-	wait float64
+	ownerWait float64
 }
 
-// grant is the decision of an owner on one request of a gateway.
-type grant struct {
+// ownerDecision is the decision of an owner on one request of a gateway: a grant or a refusal.
+type ownerDecision struct {
 	from      int // number of the gateway
 	queryNo   uint64
 	decidedAt time.Duration
@@ -184,7 +184,8 @@
 	inFlight int
 	// When the attempts were sent that ended without an answer and that the server may still be working on.
 	abandoned []time.Duration
-	// By class: fraction of the requests left unanswered or failed, and when it was computed.
+	// By class: fraction of the requests left unanswered or failed, and when it was computed. Only missRate applies the
+	// decay, which takes longer than that of other rates.
 	missRates []decayingRate
 	// Key of the server in messages.
 	key     uint64
@@ -192,8 +193,8 @@
 	// Number of idle connections as far as outcomes of attempts tell, and when one last became idle.
 	idleConns   int
 	idleConnsAt time.Duration
-	// Time of the last sign of life: an answer, an error or a full queue.
-	lastAnswer time.Duration
+	// Time of the last response: an answer or the beginning of one, an error or a full queue.
+	lastResponse time.Duration
 	// Slow-start tokens, see coldRate. tokenFraction is the accrued part of the next token at tokenFractionAt. The
 	// last token accrued at tokenReadyAt, and tokenReady says that it has not been used.
 	tokenFraction   float64
@@ -207,9 +208,9 @@
 // fleetSummary sums up the servers. It is computed at each heartbeat and each change of the list, so that no request
 // has to do it.
 type fleetSummary struct {
-	// Number of servers in state Serving, and the load of this gateway at them.
-	serving float64
-	open    float64
+	// Number of servers in state Serving, and the load of this gateway at them: attempts in flight and abandoned ones.
+	servingCount float64
+	openWork     float64
 	// Number of these servers that are warm.
 	warm int
 	// Answers a second of the servers, and the sum of their capacities in units of a warm server.
@@ -247,9 +248,9 @@
 	// The final answer has been given.
 	finished bool
 	queryNo  uint64 // number of the query to the owner
-	// Number of queries sent to owners, including those skipped because the owner had not answered before. Each owner
-	// gets two.
-	ownerTries   int
+	// Number of turns that owners have had: queries sent, and queries skipped because the owner had not answered
+	// before. Each owner gets two turns.
+	ownerTurns   int
 	firstQueryAt time.Duration
 	// A query is open.
 	awaitingOwner bool
@@ -280,7 +281,7 @@
 		g.peers = make([]peer, cfg.Gateways)
 	}
 	for i, k := range cfg.Classes {
-		g.classes[k.Name] = &class{index: i, Class: k, usualTime: initialTimeFraction * k.Aim.Seconds()}
+		g.classes[k.Name] = &class{index: i, Class: k, usualTime: initialUsualTimeFraction * k.Aim.Seconds()}
 		if g.shortestTarget == 0 || k.Aim.Seconds() < g.shortestTarget {
 			g.shortestTarget = k.Aim.Seconds()
 		}
@@ -378,7 +379,7 @@
 }
 
 // ceilingShare returns the part of a customer's hard ceiling that this gateway holds. In owner mode each owner holds
-// the same part, and the other gateways none.
+// the same part, and the tokens of other gateways admit nothing.
 func (g *Gateway) ceilingShare(c *customer) float64 {
 	if !g.broadcasts {
 		return 1.0 / ownersPerCustomer
--- a/internal/faultsoak/cardserver.go
+++ b/internal/faultsoak/cardserver.go
@@ -48,14 +48,14 @@
 
 // cardServer is a stand-in for a card server, written from the protocol specification.
 type cardServer struct {
-	cfg      ServerConfig
-	reporter *reporter
-	slots    chan struct{} // holds one element for each busy worker
-	attempts atomic.Uint64
-	mu       sync.Mutex
-	mode     ServerMode
-	changed  chan struct{}     // closed when the mode changes
-	idle     map[net.Conn]bool // all connections; true while no request runs on them
+	cfg        ServerConfig
+	reporter   *reporter
+	slots      chan struct{} // holds one element for each busy worker
+	attempts   atomic.Uint64
+	mu         sync.Mutex
+	mode       ServerMode
+	changed    chan struct{}     // closed when the mode changes
+	idleByConn map[net.Conn]bool // all connections; true while no request runs on them
 }
 
 // RunServer runs a card server until the command input ends.
@@ -65,7 +65,7 @@
 		return fmt.Errorf("card server %s: %w", cfg.ID, err)
 	}
 	s := &cardServer{cfg: cfg, reporter: newReporter(events), slots: make(chan struct{}, cfg.Workers),
-		mode: ModeServe, changed: make(chan struct{}), idle: map[net.Conn]bool{}}
+		mode: ModeServe, changed: make(chan struct{}), idleByConn: map[net.Conn]bool{}}
 	go s.accept(ln)
 	s.reporter.report(Event{Type: EventReady, Server: cfg.ID, Incarnation: cfg.Life})
 	readLines(commands, s.command)
@@ -82,7 +82,7 @@
 		s.changed = make(chan struct{})
 	}
 	if c.CloseIdle {
-		for conn, idle := range s.idle {
+		for conn, idle := range s.idleByConn {
 			if idle {
 				conn.Close()
 			}
@@ -127,14 +127,14 @@
 func (s *cardServer) setIdle(conn net.Conn, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.idle[conn] = idle
+	s.idleByConn[conn] = idle
 }
 
 // serve handles the commands on a connection one after the other until the connection ends.
 func (s *cardServer) serve(conn net.Conn) {
 	defer func() {
 		s.mu.Lock()
-		delete(s.idle, conn)
+		delete(s.idleByConn, conn)
 		s.mu.Unlock()
 		conn.Close()
 	}()
--- a/internal/faultsoak/discovery.go
+++ b/internal/faultsoak/discovery.go
@@ -25,7 +25,8 @@
 	DiscoverySlow   DiscoveryMode = "slow"   // sends the headers at once and the body later
 )
 
-// slowAnswerDelay is the time between headers and body of a slow answer, such as a long list on a busy machine takes.
+// slowAnswerDelay is the time between the headers and the body of a slow answer. A long list on a busy machine takes as
+// long.
 const slowAnswerDelay = 700 * time.Millisecond
 
 // Entry describes a card server in a list.
@@ -114,9 +115,9 @@
 	d.changed = make(chan struct{})
 }
 
-// awaitList waits for the list that answers a call: the full list if the call names no version, else the first change
-// after that version, or an empty list once the wait is over. ok is false if the call has to stay unanswered or was
-// cancelled.
+// awaitList waits for the list that answers a call: the full list if the call names no version, else the changes
+// since that version as soon as there are any, or an empty list once the wait is over. ok is false if the call has to
+// stay unanswered or was cancelled.
 func (d *discovery) awaitList(ctx context.Context, after uint64, hasAfter bool, wait time.Duration) (list List, mode DiscoveryMode, ok bool) {
 	timeout := time.After(wait)
 	d.mu.Lock()
--- a/internal/faultsoak/event.go
+++ b/internal/faultsoak/event.go
@@ -52,7 +52,7 @@
 	Server      string    `json:"server,omitempty"`
 	Gateway     int       `json:"gateway,omitempty"` // of EventNotified and EventQueried
 	Address     int       `json:"address,omitempty"` // number of the discovery address that was called
-	Attempt     uint64    `json:"attempt,omitempty"` // links EventArrival to its EventAttemptEnd; unique within a process
+	Attempt     uint64    `json:"attempt,omitempty"` // links EventArrival to EventAttemptEnd; unique in a process
 	Request     string    `json:"request,omitempty"`
 	First       Moment    `json:"first,omitempty"`   // when the first byte of the command had arrived
 	RemainingMS float64   `json:"left_ms,omitempty"` // the remaining time stated in the command
--- a/internal/faultsoak/gateway.go
+++ b/internal/faultsoak/gateway.go
@@ -143,7 +143,7 @@
 	}
 	f.oracle.recordViolation(RuleCrash, "gateway %d exited unexpectedly %v after its start: %v", g.number, Now().Sub(began), p.err)
 	at := Now()
-	f.restartAfterExit(g, outage{begun: at, exemptBefore: at, outright: true})
+	f.restartAfterExit(g, outage{begun: at, exemptUntil: at, outright: true})
 }
 
 // restartAfterExit starts a gateway again after its process has ended, waits until it is ready and records the outage.
@@ -210,7 +210,7 @@
 	at := Now()
 	p.signal(syscall.SIGKILL)
 	p.wait(readyTimeout)
-	f.restartAfterExit(g, outage{begun: at, exemptBefore: Now(), outright: true})
+	f.restartAfterExit(g, outage{begun: at, exemptUntil: Now(), outright: true})
 }
 
 // claimForStop returns a gateway's process for the caller to stop, and marks its exit as expected. It returns nil if
@@ -244,16 +244,16 @@
 	time.Sleep(acceptFor)
 	f.clients.setUsable(g.number, false)
 	grace := min(f.profile.Deadline, maxShutdownDeadline) + shutdownMargin
-	exemptBefore := at
+	exemptUntil := at
 	if !p.wait(grace - Now().Sub(at)) {
 		f.log("gateway %d was still running %v after SIGTERM and was killed", g.number, grace)
-		exemptBefore = at.Add(shutdownMargin)
+		exemptUntil = at.Add(shutdownMargin)
 		p.signal(syscall.SIGKILL)
 		p.wait(readyTimeout)
 	} else {
-		exemptBefore = 0 // it exited in time, so none of its requests are exempt
+		exemptUntil = 0 // it exited in time, so none of its requests are exempt
 	}
-	f.restartAfterExit(g, outage{begun: at, exemptBefore: exemptBefore})
+	f.restartAfterExit(g, outage{begun: at, exemptUntil: exemptUntil})
 }
 
 // pauseWhileStopping pauses a stopping gateway, for up to the longest delay that the specification allows, while the
--- a/internal/faultsoak/oracle.go
+++ b/internal/faultsoak/oracle.go
@@ -96,8 +96,8 @@
 	ID             string
 	Class          string
 	Gateway        int
-	Misbehaving    bool   // sent by a client that violates the protocol: it must be answered, but with any kind of answer
-	SlowReader     bool   // its client reads slowly but steadily, so the time of the answer does not measure the gateway
+	Misbehaving    bool   // its client violates the protocol: it must be answered, but any kind of answer is allowed
+	SlowReader     bool   // its client reads slowly but steadily, so the time of the answer says nothing of the gateway
 	ConnOpened     Moment // when its connection was established
 	Sent           Moment
 	Deadline       time.Duration
@@ -107,7 +107,7 @@
 	Value          string
 	ClientGone     Moment // when its client closed the connection
 	ConnEnded      Moment // when the gateway ended the connection without an answer
-	RacedClose     bool   // the gateway may have closed before reading it; the client would repeat it on another connection
+	RacedClose     bool   // the gateway may have closed before reading it; the client would repeat it elsewhere
 }
 
 // attempt is a command that a card server received. The embedded Event is its arrival.
@@ -132,9 +132,9 @@
 
 // serverIncarnation is one process of a card server.
 type serverIncarnation struct {
-	begun     Moment
-	startedMS int64
-	clockOff  bool // its machine's wall clock is wrong
+	begun      Moment
+	startedMS  int64
+	clockWrong bool // its machine's wall clock is wrong
 }
 
 // oracle collects the observations of processes and clients, and checks them against the rules at the end of a run.
@@ -159,7 +159,7 @@
 // outage is a period without a running gateway process for which the gateway is not responsible.
 type outage struct {
 	begun, ended Moment
-	exemptBefore Moment // unanswered requests sent up to this moment are exempt
+	exemptUntil  Moment // unanswered requests sent up to this moment are exempt
 	// SIGKILL without notice. This also exempts unanswered requests on connections established before, because the dead
 	// process cannot read them.
 	outright bool
@@ -167,8 +167,8 @@
 
 // gatewayStart is the start of a gateway process.
 type gatewayStart struct {
-	at       Moment
-	clockOff bool // its machine's wall clock is wrong
+	at         Moment
+	clockWrong bool // its machine's wall clock is wrong
 }
 
 // pause is a period in which a card server's process was stopped. The arrival times of requests that it reads
@@ -442,14 +442,14 @@
 // knewOfStart returns 1 if the gateway of an attempt knew of its server's start, else 0. A gateway process that began
 // after the server's start sees no change of the list. Only the start time in its first list shows that the server has
 // restarted, and that is useless if one of the two wall clocks is wrong. Wall clocks may be stepped forward or back, by
-// seconds or by an hour. The specification does not grant this exemption explicitly; see docs/questions.md.
+// seconds or by an hour. The specification does not grant this exemption; see docs/questions.md.
 func (o *oracle) knewOfStart(a *attempt, server string, incarnation serverIncarnation) int {
 	r := o.requests[a.Request]
 	if r == nil {
 		return 0
 	}
 	for _, s := range o.gatewayStarts[r.Gateway] {
-		if s.at <= a.First && s.at > incarnation.begun && (s.clockOff || incarnation.clockOff) {
+		if s.at <= a.First && s.at > incarnation.begun && (s.clockWrong || incarnation.clockWrong) {
 			return 0
 		}
 	}
@@ -469,20 +469,20 @@
 		if r.Kind != NoAnswer || r.ConnEnded < down.begun {
 			continue
 		}
-		if r.Sent <= down.exemptBefore || down.outright && r.ConnOpened <= down.begun {
+		if r.Sent <= down.exemptUntil || down.outright && r.ConnOpened <= down.begun {
 			return true
 		}
 	}
 	return false
 }
 
-// reloadTimeout is the time after a reload within which a gateway has to call the new discovery address.
-const reloadTimeout = 4 * time.Second
+// reloadLimit is the time after a reload within which a gateway has to call the new discovery address.
+const reloadLimit = 4 * time.Second
 
 // judgeReloads checks that after a reload gateways call discovery at the address in the new configuration.
 func (o *oracle) judgeReloads() {
 	for _, r := range o.reloads {
-		due := r.at.Add(reloadTimeout)
+		due := r.at.Add(reloadLimit)
 		if due > r.until {
 			continue
 		}
@@ -491,7 +491,7 @@
 		})
 		if !called {
 			o.addViolation(RuleReload, due, "gateway %d did not call discovery at address %d within %v of its reload",
-				r.gateway, r.address, reloadTimeout)
+				r.gateway, r.address, reloadLimit)
 		}
 	}
 }
--- a/internal/faultsoak/oracle_test.go
+++ b/internal/faultsoak/oracle_test.go
@@ -27,15 +27,15 @@
 	return s
 }
 
-// arrive records an attempt at a server, and whether the server reported that it never ran.
-func (s *history) arrive(server string, at Moment, leftMS float64, neverRan bool) {
+// recordArrival records an attempt at a server, and whether the server reported that it never ran.
+func (s *history) recordArrival(server string, at Moment, leftMS float64, neverRan bool) {
 	s.attempts++
 	s.oracle.handleEvent(Event{Type: EventArrival, At: at, First: at, Server: server, Attempt: s.attempts, Request: "r", RemainingMS: leftMS})
 	s.oracle.handleEvent(Event{Type: EventAttemptEnd, At: at, Server: server, Attempt: s.attempts, Request: "r", NeverRan: neverRan})
 }
 
-// answer records the client's answer.
-func (s *history) answer(kind AnswerKind, at Moment) {
+// recordAnswer records the client's answer.
+func (s *history) recordAnswer(kind AnswerKind, at Moment) {
 	s.request.Kind, s.request.Answered, s.request.Value = kind, at, "v:r:a"
 }
 
@@ -52,7 +52,7 @@
 		act   func(s *history)
 		want  Rule // empty: no violation
 	}{
-		"served":                              {ClassSafe, func(s *history) { s.arrive("a", 1010*testMS, 900, false); s.answer(Served, 1100*testMS) }, ""},
+		"served":                              {ClassSafe, func(s *history) { s.recordArrival("a", 1010*testMS, 900, false); s.recordAnswer(Served, 1100*testMS) }, ""},
 		"never answered":                      {ClassSafe, func(*history) {}, RuleLost},
 		"connection closed without an answer": {ClassSafe, func(s *history) { s.request.ConnEnded = 1400 * testMS }, RuleLost},
 		"connection closed before the request was read":    {ClassSafe, func(s *history) { s.request.ConnEnded, s.request.RacedClose = 1010*testMS, true }, ""},
@@ -61,33 +61,33 @@
 		"gateway killed, request sent after the exemption": {ClassSafe, func(s *history) { s.request.ConnEnded = 1300 * testMS; s.recordKill(1200, 900) }, RuleLost},
 		"sent to a dead process on an old connection": {ClassSafe, func(s *history) {
 			s.request.ConnOpened, s.request.ConnEnded = 500*testMS, 1300*testMS
-			s.oracle.outages[0] = []outage{{begun: 900 * testMS, exemptBefore: 910 * testMS, outright: true}}
+			s.oracle.outages[0] = []outage{{begun: 900 * testMS, exemptUntil: 910 * testMS, outright: true}}
 		}, ""},
 		"sent on a connection opened after a kill": {ClassSafe, func(s *history) {
 			s.request.ConnOpened, s.request.ConnEnded = 950*testMS, 1300*testMS
-			s.oracle.outages[0] = []outage{{begun: 900 * testMS, exemptBefore: 910 * testMS, outright: true}}
+			s.oracle.outages[0] = []outage{{begun: 900 * testMS, exemptUntil: 910 * testMS, outright: true}}
 		}, RuleLost},
 		"slow reader's connection closed":        {ClassSafe, func(s *history) { s.request.SlowReader = true; s.request.ConnEnded = 1400 * testMS }, RuleSlowClient},
-		"late answer":                            {ClassSafe, func(s *history) { s.answer(Failed, 2600*testMS) }, RuleLate},
-		"late because of the preceding answer":   {ClassSafe, func(s *history) { s.answer(Failed, 2600*testMS); s.request.PreviousAnswer = 2000 * testMS }, ""},
-		"value of another request":               {ClassSafe, func(s *history) { s.answer(Served, 1100*testMS); s.request.Value = "v:q:a" }, RuleWrongAnswer},
-		"attempt after the answer":               {ClassSafe, func(s *history) { s.answer(Failed, 1100*testMS); s.arrive("a", 1300*testMS, 100, false) }, RuleAfterAnswer},
-		"attempt after the client disconnected":  {ClassSafe, func(s *history) { s.request.ClientGone = 1010 * testMS; s.arrive("a", 1300*testMS, 100, false) }, RuleClientGone},
-		"attempt states too much remaining time": {ClassSafe, func(s *history) { s.arrive("a", 1500*testMS, 900, false); s.answer(Failed, 1900*testMS) }, RuleDeadline},
-		"unsafe, two attempts":                   {ClassUnsafe, func(s *history) { s.arriveTwice("a", "a", 50, false, Failed) }, RuleRepeat},
-		"unsafe, first attempt never ran":        {ClassUnsafe, func(s *history) { s.arriveTwice("a", "b", 50, true, Served) }, ""},
-		"keyed, same cell":                       {ClassKeyed, func(s *history) { s.arriveTwice("a", "a", 50, false, Served) }, ""},
-		"keyed, other cell":                      {ClassKeyed, func(s *history) { s.arriveTwice("a", "b", 50, false, Served) }, RuleRepeat},
-		"keyed, after the deduplication window":  {ClassKeyed, func(s *history) { s.arriveTwice("a", "a", 800, false, Served) }, RuleRepeat},
+		"late answer":                            {ClassSafe, func(s *history) { s.recordAnswer(Failed, 2600*testMS) }, RuleLate},
+		"late because of the preceding answer":   {ClassSafe, func(s *history) { s.recordAnswer(Failed, 2600*testMS); s.request.PreviousAnswer = 2000 * testMS }, ""},
+		"value of another request":               {ClassSafe, func(s *history) { s.recordAnswer(Served, 1100*testMS); s.request.Value = "v:q:a" }, RuleWrongAnswer},
+		"attempt after the answer":               {ClassSafe, func(s *history) { s.recordAnswer(Failed, 1100*testMS); s.recordArrival("a", 1300*testMS, 100, false) }, RuleAfterAnswer},
+		"attempt after the client disconnected":  {ClassSafe, func(s *history) { s.request.ClientGone = 1010 * testMS; s.recordArrival("a", 1300*testMS, 100, false) }, RuleClientGone},
+		"attempt states too much remaining time": {ClassSafe, func(s *history) { s.recordArrival("a", 1500*testMS, 900, false); s.recordAnswer(Failed, 1900*testMS) }, RuleDeadline},
+		"unsafe, two attempts":                   {ClassUnsafe, func(s *history) { s.recordTwoArrivals("a", "a", 50, false, Failed) }, RuleRepeat},
+		"unsafe, first attempt never ran":        {ClassUnsafe, func(s *history) { s.recordTwoArrivals("a", "b", 50, true, Served) }, ""},
+		"keyed, same cell":                       {ClassKeyed, func(s *history) { s.recordTwoArrivals("a", "a", 50, false, Served) }, ""},
+		"keyed, other cell":                      {ClassKeyed, func(s *history) { s.recordTwoArrivals("a", "b", 50, false, Served) }, RuleRepeat},
+		"keyed, after the deduplication window":  {ClassKeyed, func(s *history) { s.recordTwoArrivals("a", "a", 800, false, Served) }, RuleRepeat},
 		"unsafe, two attempts, server paused": {ClassUnsafe, func(s *history) {
 			s.oracle.pauses["a"] = []pause{{1000 * testMS, 2000 * testMS}}
-			s.arriveTwice("a", "a", 50, false, Failed)
+			s.recordTwoArrivals("a", "a", 50, false, Failed)
 		}, RuleRepeat},
-		"refused, attempt may have run":      {ClassUnsafe, func(s *history) { s.arrive("a", 1010*testMS, 900, false); s.answer(Refused, 1100*testMS) }, RuleRefusal},
-		"refused, attempt never ran":         {ClassUnsafe, func(s *history) { s.arrive("a", 1010*testMS, 900, true); s.answer(Refused, 1100*testMS) }, ""},
-		"draining for longer than the grace": {ClassSafe, func(s *history) { s.notify("draining", 500*testMS); s.serve() }, RuleDrain},
-		"draining for less than the grace":   {ClassSafe, func(s *history) { s.notify("draining", 900*testMS); s.serve() }, ""},
-		"up again":                           {ClassSafe, func(s *history) { s.notify("draining", 100*testMS); s.notify("up", 900*testMS); s.serve() }, ""},
+		"refused, attempt may have run":      {ClassUnsafe, func(s *history) { s.recordArrival("a", 1010*testMS, 900, false); s.recordAnswer(Refused, 1100*testMS) }, RuleRefusal},
+		"refused, attempt never ran":         {ClassUnsafe, func(s *history) { s.recordArrival("a", 1010*testMS, 900, true); s.recordAnswer(Refused, 1100*testMS) }, ""},
+		"draining for longer than the grace": {ClassSafe, func(s *history) { s.notify("draining", 500*testMS); s.recordServed() }, RuleDrain},
+		"draining for less than the grace":   {ClassSafe, func(s *history) { s.notify("draining", 900*testMS); s.recordServed() }, ""},
+		"up again":                           {ClassSafe, func(s *history) { s.notify("draining", 100*testMS); s.notify("up", 900*testMS); s.recordServed() }, ""},
 	} {
 		s := newHistory(tc.class)
 		tc.act(s)
@@ -101,22 +101,22 @@
 	}
 }
 
-// serve records one attempt at server "a" and its answer in time.
-func (s *history) serve() {
-	s.arrive("a", 1010*testMS, 900, false)
-	s.answer(Served, 1100*testMS)
+// recordServed records one attempt at server "a" and its answer in time.
+func (s *history) recordServed() {
+	s.recordArrival("a", 1010*testMS, 900, false)
+	s.recordAnswer(Served, 1100*testMS)
 }
 
 // recordKill records a kill at the end of a planned restart. Both times are in milliseconds.
-func (s *history) recordKill(at, exemptBefore int) {
-	s.oracle.outages[0] = append(s.oracle.outages[0], outage{begun: Moment(at) * testMS, exemptBefore: Moment(exemptBefore) * testMS})
+func (s *history) recordKill(at, exemptUntil int) {
+	s.oracle.outages[0] = append(s.oracle.outages[0], outage{begun: Moment(at) * testMS, exemptUntil: Moment(exemptUntil) * testMS})
 }
 
-// arriveTwice records two attempts, the second laterMS after the first, and an answer.
-func (s *history) arriveTwice(first, second string, laterMS int, neverRan bool, kind AnswerKind) {
-	s.arrive(first, 1010*testMS, 900, neverRan)
-	s.arrive(second, Moment(1010+laterMS)*testMS, 100, false)
-	s.answer(kind, Moment(1100+laterMS)*testMS)
+// recordTwoArrivals records two attempts, the second laterMS after the first, and an answer.
+func (s *history) recordTwoArrivals(first, second string, laterMS int, neverRan bool, kind AnswerKind) {
+	s.recordArrival(first, 1010*testMS, 900, neverRan)
+	s.recordArrival(second, Moment(1010+laterMS)*testMS, 100, false)
+	s.recordAnswer(kind, Moment(1100+laterMS)*testMS)
 }
 
 // Guards against an oracle that misses an overload of a server in slow start, or reports one where the gateway did not
@@ -140,7 +140,7 @@
 			o.handleEvent(Event{Type: EventNotified, At: begun, Server: "a", State: "up", StartedMS: 7})
 		}
 		if tc.startedLater {
-			o.gatewayStarts[0] = []gatewayStart{{at: begun + 1, clockOff: true}}
+			o.gatewayStarts[0] = []gatewayStart{{at: begun + 1, clockWrong: true}}
 		}
 		for i := range tc.requests {
 			id := strings.Repeat("x", i+1)
--- a/internal/faultsoak/profile.go
+++ b/internal/faultsoak/profile.go
@@ -21,8 +21,8 @@
 	DrainGrace   time.Duration  // for attempts to a card server after a gateway was informed that it drains
 	ColdFrom     float64        // share of the full capacity at the beginning of slow start
 	ColdFor      time.Duration  // length of slow start
-	FallMultiple float64        // the slow-start bound is this multiple of the capacity ...
-	FallWindow   time.Duration  // ... within this window
+	FallMultiple float64        // N of RuleSlowStart, as a multiple of what the capacity allows in FallWindow
+	FallWindow   time.Duration  // in which the requests to a server in slow start are counted
 	ServerRate   float64        // requests per second that a warm card server can serve
 	Cells        map[string]int // by server
 }
--- a/internal/faultsoak/proxy.go
+++ b/internal/faultsoak/proxy.go
@@ -14,7 +14,7 @@
 // The modes of a route.
 const (
 	RoutePass     ProxyMode = "pass"
-	RouteSilent   ProxyMode = "silent"   // discards all bytes; connections that lost bytes are reset when the mode changes
+	RouteSilent   ProxyMode = "silent"   // discards all bytes; a mode change resets connections that lost some
 	RouteReset    ProxyMode = "reset"    // resets open connections at once, and new ones when they are accepted
 	RouteFragment ProxyMode = "fragment" // forwards bytes in small pieces with pauses between them
 )
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -90,15 +90,15 @@
 	ln    net.Listener
 	queue acceptQueue
 	// semaphore: one element for each connection that is awaited or accepted and that the loop has not counted yet
-	backlog chan struct{}
-	post    func(event)
-	metrics *telemetry.Metrics
-	log     *slog.Logger
+	acceptSlots chan struct{}
+	post        func(event)
+	metrics     *telemetry.Metrics
+	log         *slog.Logger
 }
 
 // run accepts connections until the listener is closed, until stopAccepting was called and the queue is empty, or
-// until the context ends. The capacity of backlog limits how many are accepted ahead of the loop, which bounds the
-// number of open descriptors: when hundreds of clients connect at once, the rest wait in the kernel.
+// until the context ends. The capacity of acceptSlots limits how many are accepted ahead of the loop, which bounds
+// the number of open descriptors: when hundreds of clients connect at once, the rest wait in the kernel.
 func (a acceptor) run(ctx context.Context) {
 	queue := a.queue
 	warnings := logging.Limiter{Interval: time.Second}
@@ -111,11 +111,11 @@
 	}
 }
 
-// reserve acquires an element of backlog. It returns false if the context has ended.
+// reserve acquires an element of acceptSlots. It returns false if the context has ended.
 func (a acceptor) reserve(ctx context.Context, queue *acceptQueue) bool {
 	began := time.Now()
 	select {
-	case a.backlog <- struct{}{}:
+	case a.acceptSlots <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
@@ -163,13 +163,13 @@
 }
 
 // deliver posts a connection to the loop, together with the earliest time at which it may have arrived. It uses the
-// element of backlog that reserve acquired; the loop releases it.
+// element of acceptSlots that reserve acquired; the loop releases it.
 func (a acceptor) deliver(conn net.Conn, arrivedAt time.Time) {
 	c, err := newClient(conn)
 	if err != nil {
 		a.log.Error("could not use an accepted connection", "err", err)
 		conn.Close()
-		<-a.backlog
+		<-a.acceptSlots
 		return
 	}
 	c.acceptedAt = arrivedAt
--- a/internal/gateway/accept_test.go
+++ b/internal/gateway/accept_test.go
@@ -68,11 +68,11 @@
 	metrics := telemetry.New()
 	var arrivedAt time.Time
 	started := time.Now()
-	backlog := make(chan struct{}, 1)
-	a := acceptor{ln: &failingListener{failures: failures, conns: []net.Conn{near}}, backlog: backlog, metrics: metrics,
+	acceptSlots := make(chan struct{}, 1)
+	a := acceptor{ln: &failingListener{failures: failures, conns: []net.Conn{near}}, acceptSlots: acceptSlots, metrics: metrics,
 		log: slog.New(slog.DiscardHandler), post: func(e event) {
 			arrivedAt = e.(clientConnected).client.acceptedAt
-			<-backlog // the loop releases it as well
+			<-acceptSlots // the loop releases it as well
 		}}
 	a.run(context.Background())
 	if waited := time.Since(started); waited < failures*acceptRetryDelay {
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -128,8 +128,8 @@
 type clientConnected struct{ client *client }
 
 func (e clientConnected) apply(l *loop) {
-	defer func() { <-l.pendingAccepts }() // release the acceptor's element once the connection is counted or closed
-	if !l.ready {
+	defer func() { <-l.acceptSlots }() // release the element once the connection is counted or closed
+	if !l.acceptingRequests {
 		l.guard.reportViolation(ruleStart, "connection", e.client.id)
 	}
 	// Connections that are already ending keep their descriptor for a while. So an idle connection is drained for
@@ -176,7 +176,7 @@
 func (l *loop) evictClient() {
 	for c := range l.clients {
 		if c.state == stateLingering && c.conn.Unsent() <= finBytes {
-			l.closeClient(c, closeRoom)
+			l.closeClient(c, closeEvicted)
 			return
 		}
 	}
@@ -232,7 +232,7 @@
 	s.reply, s.ready = b, true
 }
 
-// flush moves the answers that are next in order to the backlog and writes it.
+// flush moves the answers that are next in order to the backlog and writes it, so that they go out in one write.
 func (l *loop) flush(c *client) {
 	n := 0
 	for n < len(c.slots) && c.slots[n].ready {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,6 +1,6 @@
-// Package gateway runs the decision engine of package decide on real sockets. One goroutine, the loop, owns the engine and
-// all tables. The goroutines of connections, discovery and peers only read, and pass what they read to the loop. The loop
-// writes without ever blocking on the other end of a connection.
+// Package gateway runs the decision engine of package decide on real sockets. One goroutine, the loop, owns the engine
+// and all tables. The goroutines of connections, discovery and peers only read, and pass what they read to the loop.
+// The loop writes without ever blocking on the other end of a connection.
 package gateway
 
 import (
@@ -15,8 +15,8 @@
 	"winghatch/internal/settings"
 )
 
-// Upper bounds of the configured limits. Larger values are mistakes. A larger memory limit would overflow when converted
-// to bytes, and no request would be accepted.
+// Upper bounds of the configured limits. Larger values are mistakes. A larger memory limit would overflow when
+// converted to bytes, and no request would be accepted.
 const (
 	maxCores    = 1 << 12
 	maxMemoryMB = 1 << 30
@@ -38,7 +38,9 @@
 	Settings   settings.Settings
 	// MetricsListen is the loopback address on which metrics are served. Zero value: metrics are not served.
 	MetricsListen netip.AddrPort
-	warmupTimeout time.Duration // how long the start waits for discovery to begin its answer; 0: warmupFirstByteTimeout
+	// discoveryFirstByteTimeout limits how long the start waits for discovery to begin its answer. 0 means
+	// warmupFirstByteTimeout. The end of an answer that has begun has the limit warmupAnswerTimeout.
+	discoveryFirstByteTimeout time.Duration
 }
 
 // fileConfig is the JSON format of the configuration file.
@@ -59,8 +61,8 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// LoadConfig reads the configuration file that the environment variable GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY
-// and GW_METRICS override the values in the file, because the platform sets them.
+// LoadConfig reads the configuration file that the environment variable GW_CONFIG names. GW_NAME, GW_LISTEN,
+// GW_DISCOVERY and GW_METRICS override the values in the file, because the platform sets them.
 //
 // If the file is temporarily unreadable, reading is retried for up to configReadTimeout.
 func LoadConfig(getenv func(string) string) (Config, error) {
@@ -113,9 +115,9 @@
 }
 
 // LoadDiscovery reads the configuration file again and returns its discovery address. It ignores GW_DISCOVERY: the
-// environment of a running process can't change, so the variable would tie the gateway to the address that it was started
-// with. It reads the file only once, without retries, because the caller may want to know of the first failure and retry
-// by itself.
+// environment of a running process can't change, so the variable would tie the gateway to the address that it was
+// started with. It reads the file only once, without retries, because the caller may want to know of the first failure
+// and retry by itself.
 func LoadDiscovery(getenv func(string) string) (netip.AddrPort, error) {
 	c, err := loadConfig(func(name string) string {
 		if name == "GW_DISCOVERY" {
@@ -181,7 +183,8 @@
 	return addr, err
 }
 
-// parsePeers parses the addresses of the parsePeers, which are needed only if messages between gateways are enabled.
+// parsePeers parses the addresses of the other gateways, which are needed only if messages between gateways are
+// enabled.
 func (f *fileConfig) parsePeers(c *Config) error {
 	d := c.Settings.Decide
 	if !d.Limits.Peers || f.PeerListen == "" {
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connection.go
@@ -104,12 +104,13 @@
 func (c *connection) tryWrite(b []byte) (int, error) { return c.conn.TryWrite(b) }
 
 // writeRest writes the rest in a separate goroutine and then posts the event that done returns for the result. It
-// removes its write deadline afterwards: a deadline that stayed would fail every later write, and with it the connection.
-func (c *connection) writeRest(l *loop, rest []byte, limit writeTimeouts, done func(error) event) {
+// removes its write deadline afterwards: a deadline that stayed would fail every later write, and with it the
+// connection.
+func (c *connection) writeRest(l *loop, rest []byte, timeouts writeTimeouts, done func(error) event) {
 	c.writerActive = true
 	conn, post := c.conn, l.inbox.post
 	l.tasks.Go(func() {
-		err := writeAll(conn, rest, limit)
+		err := writeAll(conn, rest, timeouts)
 		if err == nil {
 			conn.SetWriteDeadline(time.Time{}) // fails only on a closed connection; everything has been written anyway
 		}
--- a/internal/gateway/dial.go
+++ b/internal/gateway/dial.go
@@ -42,10 +42,10 @@
 	l.pool.connRemoved(d.attempt.server)
 }
 
-// onDialDone sends the attempt's request on the new connection, if that is still allowed. While the connection was being
-// established, the attempt may have been cancelled or its request answered, its server may have been drained or moved,
-// or its time may have run out. Without these checks a request could go out after its final answer, to a server that
-// must get no more requests, or to one that no longer recognizes it as a retry.
+// onDialDone sends the attempt's request on the new connection, if that is still allowed. While the connection was
+// being established, the attempt may have been cancelled or its request answered, its server may have been drained or
+// moved, or its time may have run out. Without these checks a request could go out after its final answer, to a server
+// that must get no more requests, or to one that no longer recognizes it as a retry.
 func (p *pool) onDialDone(d dialDone) {
 	a, s := d.attempt, d.attempt.server
 	var c *upstreamConn
@@ -85,8 +85,8 @@
 }
 
 // dialOutcome returns the outcome of an attempt whose connection could not be established. A server must not be blamed
-// for a resource that this machine lacks. A server without a route, for longer than a moment, is as good as down for this
-// gateway.
+// for a resource that this machine lacks. A server without a route, for longer than a moment, is as good as down for
+// this gateway.
 func dialOutcome(err error) decide.Outcome {
 	if platform.IsTransient(err) {
 		return decide.NotSent
--- a/internal/gateway/dial_test.go
+++ b/internal/gateway/dial_test.go
@@ -10,8 +10,8 @@
 	"winghatch/decide"
 )
 
-// Dialing must be retried when this machine temporarily lacks a resource or has no route, and a lack of resources must not
-// be blamed on the server. An error that the server's machine reports must end the attempt at once.
+// Dialing must be retried when this machine temporarily lacks a resource or has no route, and a lack of resources must
+// not be blamed on the server. An error that the server's machine reports must end the attempt at once.
 func TestDialRetriesTransientErrors(t *testing.T) {
 	for errno, tc := range map[syscall.Errno]struct {
 		tries   int
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -62,8 +62,8 @@
 }
 
 // UnmarshalJSON decodes an entry and rejects an invalid one, which aborts the decoding of the whole list. A list is
-// accepted as a whole or not at all, and a list of millions of empty entries must not be held in memory, where each entry
-// takes fifty times its size on the wire.
+// accepted as a whole or not at all, and a list of millions of empty entries must not be held in memory, where each
+// entry takes fifty times its size on the wire.
 func (e *serverEntry) UnmarshalJSON(raw []byte) error {
 	type plain serverEntry
 	if err := json.Unmarshal(raw, (*plain)(e)); err != nil {
@@ -95,11 +95,11 @@
 type discoveryWatcher struct {
 	client *http.Client
 	url    string
-	// The next three times are the defaults of package watch if they are 0.
+	// For each of the next three, 0 selects the default of package watch.
 	watchWait    time.Duration // how long a watch call waits for changes
 	watchGrace   time.Duration // timeout of a watch call, counted from the end of its wait
 	checkTimeout time.Duration // initial timeout of a call that does not wait
-	agent        bool          // the calls go to an agent, to which discovery pushes the lists
+	usesAgent    bool          // the calls go to an agent, to which discovery pushes the lists
 	hasList      bool          // the gateway already has the list of this version
 	version      uint64
 	pause        func(context.Context, time.Duration)
@@ -120,10 +120,10 @@
 // refuseRedirect refuses redirects: server lists come only from the configured address.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// followDiscovery watches discovery at the configured address, and after each move at the new address. A move cancels the
-// call to the old address. The watcher of the new address starts after the old one has ended, with the full list: the
-// versions of the two addresses are unrelated, so their changes must never be mixed. Until the new address answers, the
-// last list stays in use.
+// followDiscovery watches discovery at the configured address, and after each move at the new address. A move cancels
+// the call to the old address. The watcher of the new address starts after the old one has ended, with the full list:
+// the versions of the two addresses are unrelated, so their changes must never be mixed. Until the new address answers,
+// the last list stays in use.
 //
 // At startup the watch continues from the list in the configuration, if that is a full list. Otherwise a fleet that is
 // restarted all at once would request every list twice: once in full and once to watch it.
@@ -133,7 +133,7 @@
 	for ctx.Err() == nil {
 		watchCtx, cancel := context.WithCancel(ctx)
 		w, ended := newDiscoveryWatcher(addr, post, log), make(chan struct{})
-		w.agent, w.warmup, w.metrics = !cfg.Settings.Decide.Subscribe, warmup, metrics
+		w.usesAgent, w.warmup, w.metrics = !cfg.Settings.Decide.Subscribe, warmup, metrics
 		w.hasList, w.version = known.Full && len(known.Servers) > 0, known.Version
 		known = serverList{}
 		go func() {
@@ -153,7 +153,7 @@
 func (w *discoveryWatcher) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	started, failing, tooLong := time.Now(), false, false
-	pacer := watch.New(watch.Config{Agent: w.agent, HasList: w.hasList, Version: w.version, WatchWait: w.watchWait,
+	pacer := watch.New(watch.Config{Agent: w.usesAgent, HasList: w.hasList, Version: w.version, WatchWait: w.watchWait,
 		WatchGrace: w.watchGrace, CheckTimeout: w.checkTimeout},
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	for ctx.Err() == nil {
@@ -205,14 +205,15 @@
 	return watch.Failed
 }
 
-// fetch makes one call to discovery. The timeout covers the response's body too, except for an agent's. An agent that has
-// begun to answer is not silent, and gets the time that a long list takes on a busy machine. fetch fails with
+// fetch makes one call to discovery. The timeout covers the response's body too, except for an agent's. An agent that
+// has begun to answer is not silent, and gets the time that a long list takes on a busy machine. fetch fails with
 // errDiscoveryBusy if discovery rejects the call, and with errListTooLong if the list is longer than
 // maxServerListBytes.
 //
-// A truncated response is an error. A response with a length or with chunks shows the truncation by itself. Where the end
-// of the connection ends the response, a reset is not a regular end, and an object without its closing brace is not valid
-// JSON. A list that is cut off after that brace is complete. Anything but white space after the brace is an error.
+// A truncated response is an error. A response with a length or with chunks shows the truncation by itself. Where the
+// end of the connection ends the response, a reset is not a regular end, and an object without its closing brace is not
+// valid JSON. A list that is cut off after that brace is complete. Anything but white space after the brace is an
+// error.
 func (w *discoveryWatcher) fetch(ctx context.Context, url string, timeout time.Duration) (serverList, error) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -230,11 +231,11 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 		signal(w.warmup.answering)
-		if w.agent {
+		if w.usesAgent {
 			timer.Reset(watch.AnswerTimeout)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		io.CopyN(io.Discard, resp.Body, maxResponseHeaderBytes) // allows reuse of the connection; an error only prevents that
+		io.CopyN(io.Discard, resp.Body, maxResponseHeaderBytes) // lets the connection be reused; on error it is not
 		return serverList{}, fmt.Errorf("%w: %s", errDiscoveryBusy, resp.Status)
 	default:
 		return serverList{}, fmt.Errorf("discovery answered %s", resp.Status)
@@ -284,8 +285,8 @@
 	}
 }
 
-// decideServer converts the entry to the decision engine's type. Start times count from the Unix epoch, as the loop's clock
-// does.
+// decideServer converts the entry to the decision engine's type. Start times count from the Unix epoch, as the loop's
+// clock does.
 func (e *serverEntry) decideServer() decide.Server {
 	state, err := e.state()
 	if err != nil {
--- a/internal/gateway/discovery_peers_test.go
+++ b/internal/gateway/discovery_peers_test.go
@@ -18,9 +18,10 @@
 	"winghatch/internal/watch"
 )
 
-// A watch call without an answer must time out, and the next calls must continue from the last known version. Without the
-// timeout a gateway would wait forever for a discovery service that went down during the call. The calls after a failure
-// must not wait for changes: otherwise the gateway would learn that discovery is back only at the end of such a wait.
+// A watch call without an answer must time out, and the next calls must continue from the last known version. Without
+// the timeout a gateway would wait forever for a discovery service that went down during the call. The calls after a
+// failure must not wait for changes: otherwise the gateway would learn that discovery is back only at the end of such a
+// wait.
 func TestWatchRecoversFromSilentDiscovery(t *testing.T) {
 	calls := make(chan string, 16)
 	n := 0
@@ -67,8 +68,8 @@
 	}
 }
 
-// Peer messages from unknown addresses and messages of more than 256 bytes must be dropped, whatever anyone sends to the
-// port. Oversized messages and unknown ranks must be rejected when sending as well.
+// Peer messages from unknown addresses and messages of more than 256 bytes must be dropped, whatever anyone sends to
+// the port. Oversized messages and unknown ranks must be rejected when sending as well.
 func TestUnknownSendersAndOversizedPeerMessagesAreDropped(t *testing.T) {
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	stranger, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
@@ -117,7 +118,8 @@
 	}
 }
 
-// Peer messages beyond the rate limit must be dropped, because each may take memory for seconds.
+// Peer messages beyond peerRateFactor times the configured rate must be dropped, because each may take memory for
+// seconds.
 func TestPeerMessagesOverTheRateLimitAreDropped(t *testing.T) {
 	peer, from := holdUDP(t)
 	p, err := openPeerSocket(mustAddr("127.0.0.1:0"), []netip.AddrPort{from})
@@ -214,9 +216,9 @@
 	}
 }
 
-// An overloaded discovery service must be called with exponential backoff and with jitter, which differs from gateway to
-// gateway. The calls are watch calls that continue from the list the gateway was started with. If every gateway of a fleet
-// retried at once, discovery would never recover.
+// An overloaded discovery service must be called with exponential backoff and with jitter, which differs from gateway
+// to gateway. The calls are watch calls that continue from the list the gateway was started with. If every gateway of a
+// fleet retried at once, discovery would never recover.
 func TestBusyDiscoveryIsRetriedWithBackoff(t *testing.T) {
 	const refusals = 8
 	calls := make(chan string, refusals+1)
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -28,9 +28,9 @@
 // Limits that keep each execution short.
 const (
 	maxStreamBytes = 4 * maxCommandBytes // bytes received on a connection
-	maxPieces      = 16                  // number of cuts, each of which ends a read
+	maxCuts        = 16                  // number of cuts, each of which ends a read
 	maxFileBytes   = 16 << 10            // bytes of a server list or a configuration file
-	maxAllocBytes  = 16 << 20            // bytes allocated by a starting gateway, plus 64 for each byte of its configuration
+	maxAllocBytes  = 16 << 20            // bytes allocated by a starting gateway, plus 64 for each byte of its file
 )
 
 // expandRuns lets short inputs encode long runs: the byte 0xfe followed by n stands for 256*n bytes.
@@ -50,7 +50,7 @@
 // splitAt cuts the bytes received on a connection into reads. The lengths of the reads are derived from the bytes of
 // cuts.
 func splitAt(b, cuts []byte) (out [][]byte) {
-	for _, c := range cuts[:min(len(cuts), maxPieces)] {
+	for _, c := range cuts[:min(len(cuts), maxCuts)] {
 		n := int(c)
 		if c >= 128 {
 			n = int(c-127) << 10
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -93,8 +93,8 @@
 	c.expect("+PONG")
 }
 
-// A keyed request that may have run in one cell must not be sent to another cell. The client must get ERR failed and not
-// BUSY, which would promise that the request did not run.
+// A keyed request that may have run in one cell must not be sent to another cell. The client must get ERR failed and
+// not BUSY, which would promise that the request did not run.
 func TestKeyedRequestIsNotRepeatedInAnotherCell(t *testing.T) {
 	a, b := newBackend(t), newBackend(t)
 	c := newHarness(t, longTarget, a, b).dial(t)
--- a/internal/gateway/guard.go
+++ b/internal/gateway/guard.go
@@ -18,10 +18,10 @@
 	ruleAfterAnswer rule = "after_answer" // no attempt starts after the final answer
 	ruleClientGone  rule = "client_gone"  // no attempt starts after the client has left
 	ruleDrain       rule = "drain"        // no attempt starts at a server that is draining or removed
-	ruleRepeat      rule = "repeat"       // a request that may have run is repeated only where and while that is harmless
+	ruleRepeat      rule = "repeat"       // what may have run is repeated only where and while that is harmless
 	ruleDeadline    rule = "deadline"     // an attempt passes on no more time than the client has left
 	ruleOrder       rule = "order"        // a connection to a server carries one attempt at a time
-	ruleStart       rule = "start"        // no request is taken before discovery has answered or the wait for it has ended
+	ruleStart       rule = "start"        // no request is taken before discovery answered or the wait for it ended
 	ruleBookkeeping rule = "bookkeeping"  // counts never fall below 0
 )
 
@@ -109,7 +109,7 @@
 	closeStalled  closeReason = "stalled"  // the client read nothing for too long
 	closeMemory   closeReason = "memory"   // the client's unread answers exceeded the memory limit for them
 	closeDone     closeReason = "done"     // all answers were sent and have arrived
-	closeRoom     closeReason = "room"     // a newer connection needed the descriptor
+	closeEvicted  closeReason = "room"     // a newer connection needed the descriptor
 	closeShutdown closeReason = "shutdown" // the final deadline of a shutdown
 	closeFull     closeReason = "full"     // no descriptor was free; nothing was read from the connection
 )
@@ -124,7 +124,8 @@
 	return false
 }
 
-// recordClose counts the close of a client's connection and reports a violation if answers are lost.
+// recordClose counts the close of a client's connection. It reports a violation if answers are still pending and the
+// reason for the close must not lose any.
 func (g guard) recordClose(c *client, reason closeReason) {
 	g.metrics.ClientCloses.Inc(string(reason))
 	if pending := len(c.slots) + c.backlogAnswers + c.writingAnswers; pending > 0 && !reason.mayLosePendingAnswers() {
--- a/internal/gateway/guard_test.go
+++ b/internal/gateway/guard_test.go
@@ -58,9 +58,9 @@
 // addEarlierAttempt adds an attempt with an outcome that started some time before a. The cell number of its server is
 // that of c's server plus cells.
 func addEarlierAttempt(a *attempt, c *upstreamConn, outcome decide.Outcome, cells int, ago time.Duration) {
-	place := c.server.entry
-	place.Cell += cells
-	earlier := &attempt{request: a.request, ended: true, outcome: outcome, serverAtStart: place, started: a.started - ago}
+	entry := c.server.entry
+	entry.Cell += cells
+	earlier := &attempt{request: a.request, ended: true, outcome: outcome, serverAtStart: entry, started: a.started - ago}
 	a.request.attempts, a.index = []*attempt{earlier, a}, 1
 }
 
@@ -92,7 +92,7 @@
 // A close that loses pending answers must be counted as a violation, unless the client will not read them.
 func TestGuardCountsClosesWithPendingAnswers(t *testing.T) {
 	for reason, allowed := range map[closeReason]bool{closeLeft: true, closeBroken: true, closeStalled: true,
-		closeMemory: true, closeDone: false, closeRoom: false, closeShutdown: false, closeFull: false} {
+		closeMemory: true, closeDone: false, closeEvicted: false, closeShutdown: false, closeFull: false} {
 		l := newManualLoop(t, nil)
 		l.guard.recordClose(&client{slots: []*slot{{}}}, reason)
 		if counted := l.metrics.Violations.Count(string(ruleOwedAnswer)) > 0; counted == allowed {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -299,15 +299,15 @@
 	c.send("Q.DO", customer, id, "c=book,t=p,d=30000,k=77,units=1,spread=2,first=0", "BODY")
 }
 
-// servedReply is a server's reply with a value and no load report.
+// servedReply is a server's reply with a value, without usage figures and load report.
 func servedReply(value string) string {
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
 // joinClient adds a new connection to the loop in the same way as the listener does.
 func joinClient(l *loop, c *client) {
-	l.ready = true
-	l.pendingAccepts <- struct{}{}
+	l.acceptingRequests = true
+	l.acceptSlots <- struct{}{}
 	clientConnected{c}.apply(l)
 }
 
--- a/internal/gateway/list_test.go
+++ b/internal/gateway/list_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// watcherOfRawServer returns a watcher of a discovery service that answers each call with these bytes and then closes the
-// connection, with a reset if reset is set.
+// watcherOfRawServer returns a watcher of a discovery service that answers each call with these bytes and then closes
+// the connection, with a reset if reset is set.
 func watcherOfRawServer(t *testing.T, answer string, reset bool) *discoveryWatcher {
 	t.Helper()
 	ln, addr := holdTCP(t)
@@ -41,9 +41,9 @@
 	return newDiscoveryWatcher(addr, func(event) {}, slog.New(slog.DiscardHandler))
 }
 
-// An answer that is cut off, by a close or a reset, must be rejected as a list, whichever way its length is given. So must
-// one with more data after the list. A body without a length that ends right after the list can't be distinguished from
-// one that was cut off there. It need not be: a JSON object ends with its closing brace, so the list is complete.
+// An answer that is cut off, by a close or a reset, must be rejected as a list, whichever way its length is given. So
+// must one with more data after the list. A body without a length that ends right after the list can't be distinguished
+// from one that was cut off there. It need not be: a JSON object ends with its closing brace, so the list is complete.
 func TestTruncatedOrMalformedListIsRejected(t *testing.T) {
 	const (
 		list       = `{"version":42,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"up"}]}`
@@ -113,9 +113,8 @@
 	}
 }
 
-// A list that is too long must be rejected. The size and the limit are logged once, not again with each call that fails in
-// the same way.
-
+// A list that is too long must be rejected. The size and the limit are logged once each time that this begins, not
+// again with each call that fails in the same way.
 func TestOversizedListIsRejectedAndLoggedOnce(t *testing.T) {
 	padding := strings.Repeat(" ", maxServerListBytes)
 	const list = `{"version":42,"servers":[]}`
@@ -144,8 +143,8 @@
 	}
 }
 
-// A list of many tiny invalid entries is small on the wire and large in memory. It must not allocate more than other lists:
-// the first invalid entry aborts the decoding.
+// A list of many tiny invalid entries is small on the wire and large in memory. It must not allocate more than other
+// lists: the first invalid entry aborts the decoding.
 func TestInvalidListEntriesDoNotExhaustMemory(t *testing.T) {
 	const maxAllocated = 64 << 20 // bytes allocated; a gateway may be limited to 192 MB
 	for _, entry := range []string{"null", "{}", "0", `{"id":"s"}`} {
@@ -191,8 +190,9 @@
 	}
 }
 
-// An agent's answer that has begun must be read to its end, beyond the timeout of a call that checks whether discovery is
-// up. A long list on a busy machine takes longer than that, and would never be read if each call were abandoned halfway.
+// An agent's answer that has begun must be read to its end, beyond the timeout of a call that checks whether discovery
+// is up. A long list on a busy machine takes longer than that, and would never be read if each call were abandoned
+// halfway.
 func TestAgentAnswerInProgressIsReadToTheEnd(t *testing.T) {
 	const checkTimeout = 250 * time.Millisecond
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -207,7 +207,7 @@
 	t.Cleanup(web.Close)
 	w := newDiscoveryWatcher(mustAddr(strings.TrimPrefix(web.URL, "http://")), func(event) {}, slog.New(slog.DiscardHandler))
 	defer w.client.CloseIdleConnections()
-	w.agent = true
+	w.usesAgent = true
 	list, err := w.fetch(context.Background(), w.url, checkTimeout)
 	if err != nil || list.Version != 2 || !list.Full {
 		t.Errorf("got %+v, %v", list, err)
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -26,9 +26,10 @@
 func retryable(err error) bool { return platform.IsAddressInUse(err) || platform.IsTransient(err) }
 
 // bind calls open until it returns a socket. While the error of open is retryable, bind tries again after each pause
-// of retry, for as long as timeout. It returns any other error of open at once, and the context's error once the
+// of retryDelay, for as long as timeout. It returns any other error of open at once, and the context's error once the
 // context has ended.
-func bind[S any](ctx context.Context, retry, timeout time.Duration, open func() (S, error), log *slog.Logger) (S, error) {
+func bind[S any](ctx context.Context, retryDelay, timeout time.Duration, open func() (S, error),
+	log *slog.Logger) (S, error) {
 	started := time.Now()
 	for tries := 0; ; tries++ {
 		s, err := open()
@@ -44,7 +45,7 @@
 		case tries == 0:
 			log.Warn("could not open a socket; retrying", "err", err)
 		}
-		sleep(ctx, retry)
+		sleep(ctx, retryDelay)
 	}
 }
 
@@ -54,9 +55,9 @@
 }
 
 // peerSocketReady is the event that passes the socket for other gateways to the loop.
-type peerSocketReady struct{ link *peerSocket }
+type peerSocketReady struct{ socket *peerSocket }
 
-func (p peerSocketReady) apply(l *loop) { l.peers = p.link }
+func (p peerSocketReady) apply(l *loop) { l.peers = p.socket }
 
 // startPeers opens the socket for messages between gateways, reads from it, and closes it when the context ends.
 // tasks counts the goroutine that does so. While the socket can't be opened the gateway serves without it, since
@@ -70,23 +71,23 @@
 		}
 		return p, err
 	}
-	link, err := open()
+	socket, err := open()
 	if err != nil && !retryable(err) {
 		return err
 	}
 	tasks.Go(func() {
 		if err != nil {
-			if link, err = bindPeers(ctx, open, log); err != nil {
+			if socket, err = bindPeers(ctx, open, log); err != nil {
 				if ctx.Err() == nil {
 					log.Error("could not open the peer socket; serving without peers", "err", err)
 				}
 				return
 			}
 		}
-		defer link.conn.Close()
-		defer context.AfterFunc(ctx, func() { link.conn.Close() })()
-		post(peerSocketReady{link})
-		link.read(post, log)
+		defer socket.conn.Close()
+		defer context.AfterFunc(ctx, func() { socket.conn.Close() })()
+		post(peerSocketReady{socket})
+		socket.read(post, log)
 	})
 	return nil
 }
@@ -94,9 +95,9 @@
 // bindPeers tries to open the peer socket until the context ends, at short intervals first and then every
 // peerBindRetryDelay.
 func bindPeers(ctx context.Context, open func() (*peerSocket, error), log *slog.Logger) (*peerSocket, error) {
-	link, err := bind(ctx, bindRetryDelay, bindTimeout, open, log)
+	socket, err := bind(ctx, bindRetryDelay, bindTimeout, open, log)
 	if err == nil || ctx.Err() != nil || !retryable(err) {
-		return link, err
+		return socket, err
 	}
 	return bind(ctx, peerBindRetryDelay, forever, open, log)
 }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -172,7 +172,7 @@
 		before.Close()
 		l := newManualLoop(t, nil)
 		(<-posted).apply(l)
-		if link, ok := l.peers.(*peerSocket); !ok || link.conn.LocalAddr().String() != at.String() {
+		if socket, ok := l.peers.(*peerSocket); !ok || socket.conn.LocalAddr().String() != at.String() {
 			t.Errorf("late %v: the loop did not receive the peer socket", late)
 		}
 		cancel()
@@ -216,7 +216,7 @@
 			t.Run(name+", "+known, func(t *testing.T) {
 				cfg := testConfig(t, longTarget, nil)
 				cfg.Known, cfg.Discovery, cfg.Listen = list, addr, freeAddr(t)
-				cfg.warmupTimeout = time.Millisecond
+				cfg.discoveryFirstByteTimeout = time.Millisecond
 				r, _ := startGateway(t, cfg)
 				r.waitReady(t)
 			})
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -41,35 +41,35 @@
 
 // loop owns the decision engine and all mutable state of the gateway. Only its own goroutine accesses it.
 type loop struct {
-	cfg              Config
-	log              *slog.Logger
-	debugEnabled     bool // debug logging is on: each request and connection is logged
-	metrics          *telemetry.Metrics
-	guard            guard
-	clock            clock
-	engine           *decide.Gateway
-	inbox            *inbox
-	peers            messenger // nil if messages to peers are not allowed
-	dial             dialer
-	timers           timerHeap
-	pendingEvents    []decide.Event
-	requests         map[string]*request
-	openIDs          map[string]struct{} // client-chosen ids of the requests whose answers are pending
-	nextID           uint64
-	pool             pool
-	clients          map[*client]struct{}
-	clientTimeouts   clientTimeouts
-	pendingAccepts   chan struct{} // one token for each connection that is being accepted or is not yet in clients
-	openCommandBytes int           // bytes in the commands of open requests
-	unsentBytes      int           // bytes in answers that clients have not read yet
-	stopDeadline     time.Duration // when the last answers are due after a stop request; 0 before that
-	closing          bool          // the listener is closed, and so is each connection once no answer is pending
-	ready            bool          // discovery has answered, or the wait for it has ended, so requests may be taken
-	acceptDone       bool          // all connections that the listener accepted have been counted
-	restarts         int
-	tasks            sync.WaitGroup     // goroutines of connections
-	ctx              context.Context    // cancelled when the loop ends
-	cancel           context.CancelFunc // cancels ctx
+	cfg               Config
+	log               *slog.Logger
+	debugEnabled      bool // debug logging is on: each request and connection is logged
+	metrics           *telemetry.Metrics
+	guard             guard
+	clock             clock
+	engine            *decide.Gateway
+	inbox             *inbox
+	peers             messenger // nil if messages to peers are not allowed
+	dial              dialer
+	timers            timerHeap
+	pendingEvents     []decide.Event
+	requests          map[string]*request
+	openIDs           map[string]struct{} // client-chosen ids of the requests whose answers are pending
+	nextID            uint64
+	pool              pool
+	clients           map[*client]struct{}
+	clientTimeouts    clientTimeouts
+	acceptSlots       chan struct{} // one token for each connection that is awaited, or accepted and not counted yet
+	openCommandBytes  int           // bytes in the commands of open requests
+	unsentBytes       int           // bytes in answers that clients have not read yet
+	stopDeadline      time.Duration // when the last answers are due after a stop request; 0 before that
+	closing           bool          // the listener is closed, and so is each connection once no answer is pending
+	acceptingRequests bool          // discovery has answered, or the wait for it has ended, so requests may be taken
+	acceptDone        bool          // all connections that the listener accepted have been counted
+	restarts          int
+	tasks             sync.WaitGroup     // goroutines of connections
+	ctx               context.Context    // cancelled when the loop ends
+	cancel            context.CancelFunc // cancels ctx
 }
 
 // Results of requests, and the reasons for refusals and failures that the decision engine does not decide on.
@@ -101,7 +101,7 @@
 func newLoop(cfg Config, log *slog.Logger) (*loop, error) {
 	l := &loop{cfg: cfg, log: log, clock: newClock(), inbox: newInbox(), requests: map[string]*request{},
 		openIDs: map[string]struct{}{}, clients: map[*client]struct{}{}, clientTimeouts: defaultClientTimeouts,
-		pendingAccepts: make(chan struct{}, acceptBacklog), dial: platform.DialTCP, metrics: telemetry.New()}
+		acceptSlots: make(chan struct{}, acceptBacklog), dial: platform.DialTCP, metrics: telemetry.New()}
 	l.debugEnabled = log.Enabled(context.Background(), slog.LevelDebug)
 	l.guard = guard{log: log, metrics: l.metrics}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -218,7 +218,7 @@
 	}
 }
 
-// An answer that is followed by more bytes is delivered, but its connection is out of step and must not be reused.
+// An answer that is followed by more bytes is delivered, but its connection is out of sync and must not be reused.
 func TestAnswerWithTrailingBytesClosesConnection(t *testing.T) {
 	l := newManualLoop(t, unreachableServers(t))
 	r, _ := openRequest(t, l)
--- a/internal/gateway/malformed_answer_test.go
+++ b/internal/gateway/malformed_answer_test.go
@@ -38,8 +38,8 @@
 	return a, client, server
 }
 
-// A malformed answer must close the connection at once and end the attempt as one that may have run. The gateway must not
-// wait for the bytes that the answer's header announces.
+// A malformed answer must close the connection at once and end the attempt as one that may have run. The gateway must
+// not wait for the bytes that the answer's header announces.
 func TestMalformedAnswerFailsAttemptAtOnce(t *testing.T) {
 	for _, malformed := range []string{"+x\r\n", ":1\r\n", "noise", "*3\r\n$3000000000\r\nv", "*3\r\n$-1\r\n", "*1\r\n$1\r\nv\r\n", "*3\r\n$1\r\nvv",
 		"-ERR " + strings.Repeat("x", maxFieldBytes)} {
@@ -72,8 +72,7 @@
 	}
 }
 
-// A malformed usage report or load report must not lose the value before it, but must close the
-// connection.
+// A malformed usage report or load report must not lose the value before it, but must close the connection.
 func TestMalformedLoadReportKeepsTheValue(t *testing.T) {
 	b := newBackend(t)
 	c := newHarness(t, longTarget, b).dial(t)
@@ -120,8 +119,8 @@
 	}
 }
 
-// A connection must rest for quiescenceTime before it carries the next request, because a duplicate answer may still be in
-// transit. After that it is reused.
+// A connection must rest for quiescenceTime before it carries the next request, because a duplicate answer may still be
+// in transit. After that it is reused.
 func TestConnectionIsReusedOnlyAfterQuiescenceTime(t *testing.T) {
 	l := newManualLoop(t, unreachableServers(t))
 	a, _, server := attemptOnConnection(t, l)
@@ -216,8 +215,8 @@
 func (c *delayedConn) Quiet() bool                     { return len(c.reads) == 0 }
 func (c *delayedConn) SetReadDeadline(time.Time) error { return nil }
 
-// A delay of this gateway must not fail an answer whose rest is already waiting when the read deadline passes. An answer
-// that does not continue must fail, and so must one that is late a second time.
+// A delay of this gateway must not fail an answer whose rest is already waiting when the read deadline passes. An
+// answer that does not continue must fail, and so must one that is late a second time.
 func TestAnswerDelayedByTheGatewayIsRead(t *testing.T) {
 	full := servedReply("v")
 	half := len(full) / 2
--- a/internal/gateway/misbehaving_client_test.go
+++ b/internal/gateway/misbehaving_client_test.go
@@ -16,9 +16,9 @@
 
 // connectClient adds a connection with the given timeouts to the loop, after writing sent to it, and returns the
 // client and the test's end of the connection.
-func connectClient(t *testing.T, l *loop, limits clientTimeouts, sent string) (*client, net.Conn) {
+func connectClient(t *testing.T, l *loop, timeouts clientTimeouts, sent string) (*client, net.Conn) {
 	t.Helper()
-	l.clientTimeouts = limits
+	l.clientTimeouts = timeouts
 	near, far := tcpPair(t)
 	if _, err := io.WriteString(far, sent); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -18,9 +18,10 @@
 
 const maxDatagramBytes = 256 // size limit of a message between gateways, in bytes
 
-// A gateway accepts at most peerRateFactor times the configured rate of peer messages (decide.Config.PeerIntake), counted
-// over peerRateWindow. The network itself keeps to the configured rate, but others who can send to the port may not, and
-// every message about a new customer takes memory for seconds.
+// A gateway accepts at most peerRateFactor times the configured rate of peer messages (decide.Config.PeerIntake),
+// counted over peerRateWindow. The network between gateways delivers no more than the configured rate and drops the
+// rest, but whoever else can send to the port is not held to that. Every message about a new customer takes memory for
+// seconds.
 const (
 	peerRateFactor = 4
 	peerRateWindow = time.Second
@@ -80,8 +81,8 @@
 	return nil
 }
 
-// sockaddr returns an address in the form that the socket's family requires. An IPv6 socket takes IPv4 addresses in their
-// IPv6-mapped form.
+// sockaddr returns an address in the form that the socket's family requires. An IPv6 socket takes IPv4 addresses in
+// their IPv6-mapped form.
 func (p *peerSocket) sockaddr(addr netip.AddrPort) unix.Sockaddr {
 	ip := addr.Addr().Unmap()
 	if p.ipv4 && ip.Is4() {
@@ -90,8 +91,8 @@
 	return &unix.SockaddrInet6{Port: int(addr.Port()), Addr: ip.As16()}
 }
 
-// read posts the messages of known gateways until the socket is closed. It drops messages that are too long or come from
-// elsewhere, because anyone may send to the port.
+// read posts the messages of known gateways until the socket is closed. It drops messages that are too long or come
+// from elsewhere, because anyone may send to the port.
 func (p *peerSocket) read(post func(event), log *slog.Logger) {
 	buf := make([]byte, maxDatagramBytes+1)
 	accepted, windowStart := 0, time.Now()
--- a/internal/gateway/reader.go
+++ b/internal/gateway/reader.go
@@ -178,7 +178,7 @@
 	r.buf = r.buf[:len(r.buf)+n]
 	r.times.afterRead(r.clock.now(), n, len(r.buf))
 	r.peek()
-	if err == nil && !r.kernelEmpty && r.client.conn.HungUp() { // work for a client that has disconnected must not begin
+	if err == nil && !r.kernelEmpty && r.client.conn.HungUp() { // no work may begin for a client that has left
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/gateway/readstate.go
+++ b/internal/gateway/readstate.go
@@ -7,7 +7,7 @@
 
 const (
 	readNormal    readState = iota // as long as the client stays connected
-	readUntilIdle                  // until no answer is pending and no input waits, or the client reads its answers slowly
+	readUntilIdle                  // until no answer is pending and no input waits, or the client reads slowly
 	// to the end of a partial command; complete commands are processed, however many answers are pending
 	readFinishPartial
 	readStopped // nothing, even if a command is partial; complete commands are processed
--- a/internal/gateway/regression_test.go
+++ b/internal/gateway/regression_test.go
@@ -13,7 +13,7 @@
 // Regression tests for the random search of TestCrossings: each sequence of steps failed before, either when the search
 // found it or when a fix was reverted.
 func TestCrossingsRegressions(t *testing.T) {
-	allGone := []action{{actServerUpdate, 0, 0}, {actServerUpdate, 1, 0}, {actServerUpdate, 2, 0}, {actServerUpdate, 3, 0}}
+	allDraining := []action{{actServerUpdate, 0, 0}, {actServerUpdate, 1, 0}, {actServerUpdate, 2, 0}, {actServerUpdate, 3, 0}}
 	type regression struct {
 		name  string
 		s     scenario
@@ -39,9 +39,9 @@
 			[]action{{actConnect, 6, 5}, {actSend, 1, 139}, {actSend, 2, 255}, {actWait, 0, 37}, {actConnect, 1, 59}, {actConnect, 4, 166},
 				{actConnect, 4, 5}, {actConnect, 2, 229}, {actConnect, 7, 30}}},
 	}
-	for n := range 40 { // with all servers gone every request is refused; otherwise some are started
+	for n := range 40 { // with all servers draining every request is refused; otherwise some are started
 		rest := []action{{actConnect, 0, 0}, {actPauseLoop, 0, 0}, {actSend, 0, 200}, {actBreakOnWrite, 0, n}, {actResumeLoop, 0, 0}}
-		for i, first := range [][]action{allGone, nil, {{actConnect, 0, 0}, {actSend, 0, 255}}} {
+		for i, first := range [][]action{allDraining, nil, {{actConnect, 0, 0}, {actSend, 0, 255}}} {
 			all = append(all, regression{fmt.Sprintf("%d, the connection breaks in write %d of a batch", i, n+1),
 				scenario{2, 256, 8, 1, 1, 1000}, slices.Concat(first, rest)})
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// Many clients that connect and send nothing must not exhaust the descriptors: enough stay free for discovery and peers, an
-// active client can still connect, and its requests reach the servers.
+// Many clients that connect and send nothing must not exhaust the descriptors: enough stay free for discovery and
+// peers, an active client can still connect, and its requests reach the servers.
 func TestIdleCrowdLeavesDescriptorsForOthers(t *testing.T) {
 	const sockets, activeClients = 256, 5
 	synctest.Test(t, func(t *testing.T) {
@@ -95,7 +95,7 @@
 	})
 }
 
-// An accepted connection holds its slot in the accept backlog until the loop has counted or closed it. Otherwise the
+// An accepted connection holds its element of acceptSlots until the loop has counted or closed it. Otherwise the
 // acceptor could accept one more meanwhile, and the descriptors would exceed their limit.
 func TestBacklogSlotHeldUntilConnectionIsCounted(t *testing.T) {
 	for name, sockets := range map[string]int{"closed for lack of descriptors": minSockets, "counted": 4 * minSockets} {
@@ -103,15 +103,15 @@
 		l.cfg.Sockets = sockets
 		near, _ := newMemPipe(1 << 10)
 		held := -1
-		near.onClose = func() { held = len(l.pendingAccepts) }
+		near.onClose = func() { held = len(l.acceptSlots) }
 		c, err := newClient(near)
 		if err != nil {
 			t.Fatal(err)
 		}
 		joinClient(l, c)
 		counted := len(l.clients) == 1
-		if counted == (sockets == minSockets) || !counted && held != 1 || len(l.pendingAccepts) != 0 {
-			t.Errorf("%s: counted %v, %d slots held when it was closed, %d afterwards", name, counted, held, len(l.pendingAccepts))
+		if counted == (sockets == minSockets) || !counted && held != 1 || len(l.acceptSlots) != 0 {
+			t.Errorf("%s: counted %v, %d slots held when it was closed, %d afterwards", name, counted, held, len(l.acceptSlots))
 		}
 	}
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -30,8 +30,9 @@
 	c.expect("$" + id)
 }
 
-// A move of discovery must cancel the watch at the old address at once, accept the full list of the new address although
-// its version is lower, and continue from that version. A second move right after the first must take effect as well.
+// A move of discovery must cancel the watch at the old address at once, accept the full list of the new address
+// although its version is lower, and continue from that version. A second move right after the first must take effect
+// as well.
 func TestDiscoveryMoveTakesTheNewFullList(t *testing.T) {
 	a, b := newBackend(t), newBackend(t)
 	r := newHarness(t, longTarget, a)
@@ -56,8 +57,8 @@
 	}
 }
 
-// While discovery is down at its new address, the last list must stay in use. Once discovery is up it must be asked for its
-// full list, although the move came long before.
+// While discovery is down at its new address, the last list must stay in use. Once discovery is up it must be asked for
+// its full list, although the move came long before.
 func TestDiscoveryMoveWhileDownKeepsTheLastList(t *testing.T) {
 	a, b := newBackend(t), newBackend(t)
 	r := newHarness(t, longTarget, a)
@@ -91,8 +92,8 @@
 	serveOne(t, c, "id-2", b)
 }
 
-// A reload must take the discovery address from the file and ignore GW_DISCOVERY. The environment of a running process can't
-// change, so the variable would tie the gateway to its first address.
+// A reload must take the discovery address from the file and ignore GW_DISCOVERY. The environment of a running process
+// can't change, so the variable would tie the gateway to its first address.
 func TestReloadIgnoresDiscoveryFromTheEnvironment(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.9:1"}
--- a/internal/gateway/resp.go
+++ b/internal/gateway/resp.go
@@ -15,10 +15,10 @@
 // or negative length, and panics on some lengths.)
 const (
 	maxHeaderBytes  = 16                              // bytes of a header; "$65536\r\n" takes 8
-	maxArgs         = 16                              // arguments of a command; the longest command that clients use has five
+	maxArgs         = 16                              // arguments of a command; the longest that clients use has five
 	maxValueBytes   = 64 << 10                        // bytes of a value
 	maxCommandBytes = maxValueBytes + 4<<10           // bytes of a complete command
-	maxFieldBytes   = 4 << 10                         // bytes of the usage figures, of a load report and of an error line
+	maxFieldBytes   = 4 << 10                         // bytes of usage figures, of a load report and of an error line
 	maxAnswerBytes  = maxValueBytes + 3*maxFieldBytes // bytes of a complete answer
 )
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -73,16 +73,16 @@
 	if cfg.MetricsListen.IsValid() {
 		wg.Go(func() { serveMetrics(serveCtx, cfg.MetricsListen, l.metrics, log) })
 	}
-	hearing := newDiscoveryWarmup()
-	wg.Go(func() { followDiscovery(serveCtx, cfg, discoveryAddrs, l.inbox.post, l.metrics, hearing, log) })
+	warmup := newDiscoveryWarmup()
+	wg.Go(func() { followDiscovery(serveCtx, cfg, discoveryAddrs, l.inbox.post, l.metrics, warmup, log) })
 	wg.Go(func() {
 		// The list from the configuration may be out of date, and newer state that discovery has published applies
 		// from the first request on. So discovery is polled first, but the wait is bounded in case it does not
 		// answer.
-		hearing.await(cmp.Or(cfg.warmupTimeout, warmupFirstByteTimeout), warmupAnswerTimeout)
-		l.inbox.post(discoveryReady{})
+		warmup.await(cmp.Or(cfg.discoveryFirstByteTimeout, warmupFirstByteTimeout), warmupAnswerTimeout)
+		l.inbox.post(warmupEnded{})
 		queue := acceptQueue{waitingSince: opened} // clients may have connected since the listener was opened
-		acceptor{ln: ln, queue: queue, backlog: l.pendingAccepts, post: l.inbox.post, metrics: l.metrics,
+		acceptor{ln: ln, queue: queue, acceptSlots: l.acceptSlots, post: l.inbox.post, metrics: l.metrics,
 			log: log}.run(serveCtx)
 		l.inbox.post(acceptEnded{}) // after all accepted connections
 	})
@@ -102,10 +102,11 @@
 	return nil
 }
 
-// discoveryReady is the event that requests may be taken from now on.
-type discoveryReady struct{}
+// warmupEnded is the event that the start no longer waits for discovery, whether that has answered or not. Requests may
+// be taken from now on.
+type warmupEnded struct{}
 
-func (discoveryReady) apply(l *loop) { l.ready = true }
+func (warmupEnded) apply(l *loop) { l.acceptingRequests = true }
 
 // stopRequested is the event that starts the shutdown of the gateway.
 type stopRequested struct{ ln net.Listener }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	l.closing = true
-	l.pendingAccepts <- struct{}{}
+	l.acceptSlots <- struct{}{}
 	go func() { // as the accepting goroutine does at its end
 		l.inbox.post(clientConnected{c})
 		l.inbox.post(acceptEnded{})
@@ -149,12 +149,12 @@
 // A lingering connection must be the first to be closed to make room for a new one.
 func TestLingeringConnectionIsEvictedFirst(t *testing.T) {
 	l := newManualLoop(t, nil)
-	quiet, _ := connectClient(t, l, defaultClientTimeouts, "")
+	idle, _ := connectClient(t, l, defaultClientTimeouts, "")
 	c, _ := connectClient(t, l, defaultClientTimeouts, "*1\r\n:5\r\n")
 	runUntil(t, l, func() bool { return (c.state >= stateLingering) })
 	l.evictClient()
-	if !c.closed() || quiet.ending() {
-		t.Errorf("lingering connection closed: %v; idle connection ending: %v", c.closed(), quiet.ending())
+	if !c.closed() || idle.ending() {
+		t.Errorf("lingering connection closed: %v; idle connection ending: %v", c.closed(), idle.ending())
 	}
 }
 
--- a/internal/gateway/simulation_test.go
+++ b/internal/gateway/simulation_test.go
@@ -146,7 +146,7 @@
 	sentAt             time.Time     // when its last byte was written; zero before that
 	noAnswerDue        bool          // it follows malformed input or was itself sent too late, so no answer is due
 	read               bool          // the gateway has read all of it ...
-	readDespiteBacklog bool          // ... although the client's window was full, or many answers were pending before it
+	readDespiteBacklog bool          // ... though the client's window was full, or many answers before it were pending
 	answeredAt         time.Time
 	arrivals           []*arrival
 }
@@ -189,18 +189,18 @@
 	pending      []*arrival
 	restOfAnswer string // the rest of an answer that was begun
 	closed       bool
-	outOfStep    bool // the server sent something other than exactly one answer on it
+	outOfSync    bool // the server sent something other than exactly one answer on it
 }
 
 // simServer is a card server of the simulation.
 type simServer struct {
-	id, addr      string
-	cell, moves   int
-	dialMode      int // for new connections; see simulation.dial
-	conns         []*simConn
-	state         string
-	drainingSince time.Time // when it was last reported as draining or removed; zero while it is up
-	startedMS     int64
+	id, addr        string
+	cell, moves     int
+	dialMode        int // for new connections; see simulation.dial
+	conns           []*simConn
+	state           string
+	notServingSince time.Time // when it was last reported as draining or removed; zero while it is up
+	startedMS       int64
 }
 
 // simulation is a gateway's loop with clients and servers in memory.
@@ -279,7 +279,7 @@
 	if x.loop, err = newLoop(cfg, slog.New(slog.DiscardHandler)); err != nil {
 		return nil, err
 	}
-	x.loop.dial, x.loop.peers, x.loop.ready = x.dial, messageRecorder{x}, true
+	x.loop.dial, x.loop.peers, x.loop.acceptingRequests = x.dial, messageRecorder{x}, true
 	go func() {
 		defer func() {
 			if p := recover(); p != nil {
@@ -444,7 +444,7 @@
 	}
 	for range 1 + a.B/2%4*a.A { // some arrive in crowds
 		select {
-		case x.loop.pendingAccepts <- struct{}{}:
+		case x.loop.acceptSlots <- struct{}{}:
 		default:
 			return
 		}
@@ -568,25 +568,25 @@
 // updateServer changes the state of a server and posts it to the gateway, as a delta or as a full list.
 func (x *simulation) updateServer(s *simServer, b int) {
 	x.listVersion++
-	draining := true
+	notServing := true
 	switch b % 6 {
 	case 0, 1:
 		s.state = "draining"
 	case 2:
 		s.state = "removed"
 	case 3:
-		s.state, draining = "up", false
+		s.state, notServing = "up", false
 	case 4:
-		s.state, s.startedMS, draining = "up", time.Now().UnixMilli(), false
+		s.state, s.startedMS, notServing = "up", time.Now().UnixMilli(), false
 	case 5:
 		s.moves++
 		x.mu.Lock()
 		s.addr = fmt.Sprintf("10.0.%d.%d:1", s.moves, s.cell)
 		x.mu.Unlock()
-		s.state, draining = "up", false
+		s.state, notServing = "up", false
 	}
-	if s.drainingSince = (time.Time{}); draining {
-		s.drainingSince = time.Now()
+	if s.notServingSince = (time.Time{}); notServing {
+		s.notServingSince = time.Now()
 	}
 	update := listReceived{decide.FleetDelta, x.list(s)}
 	if update.list.Full = false; b >= 128 {
@@ -631,45 +631,45 @@
 	if c == nil {
 		return false
 	}
-	attempt := c.pending[0]
+	arrived := c.pending[0]
 	if c.restOfAnswer != "" {
 		c.far.TryWrite([]byte(c.restOfAnswer))
-		c.restOfAnswer, c.pending, attempt.ended = "", c.pending[1:], true
+		c.restOfAnswer, c.pending, arrived.ended = "", c.pending[1:], true
 		return true
 	}
-	value := servedReply("v:" + attempt.request.id + ":" + strings.Repeat("v", b%4*300))
+	value := servedReply("v:" + arrived.request.id + ":" + strings.Repeat("v", b%4*300))
 	reply := value
 	switch b / 8 % 14 {
 	case 3:
 		reply = "-ERR failed\r\n"
 	case 4:
-		reply, attempt.neverRan = "-BUSY\r\n", true
+		reply, arrived.neverRan = "-BUSY\r\n", true
 	case 5:
-		reply, c.outOfStep = value+value, true
+		reply, c.outOfSync = value+value, true
 	case 6:
 		c.far.TryWrite([]byte(value[:len(value)/2]))
 		c.restOfAnswer = value[len(value)/2:]
 		return true
 	case 7:
 		c.far.abort(b%2 == 0)
-		c.closed, attempt.ended = true, true
+		c.closed, arrived.ended = true, true
 		return true
 	case 8:
 		c.far.Close()
-		c.closed, attempt.ended = true, true
+		c.closed, arrived.ended = true, true
 		return true
 	case 9:
-		reply, c.outOfStep = "%noise\r\n", true
+		reply, c.outOfSync = "%noise\r\n", true
 	case 10:
 		c.far.TryWrite([]byte(value[:len(value)/2]))
 		c.far.Close()
-		c.closed, attempt.ended = true, true
+		c.closed, arrived.ended = true, true
 		return true
 	case 11:
-		reply, c.outOfStep = "*3\r\n$60000\r\nxxxxxx", true
+		reply, c.outOfSync = "*3\r\n$60000\r\nxxxxxx", true
 	}
 	c.far.TryWrite([]byte(reply))
-	c.pending, attempt.ended = c.pending[1:], true
+	c.pending, arrived.ended = c.pending[1:], true
 	return true
 }
 
@@ -687,10 +687,10 @@
 			c.closed = true
 		case 1:
 			c.far.TryWrite([]byte(servedReply("v:late copy")))
-			c.outOfStep = true
+			c.outOfSync = true
 		case 2:
 			c.far.CloseWrite()
-			c.outOfStep = true
+			c.outOfSync = true
 		}
 		return
 	}
@@ -851,10 +851,10 @@
 	if !request.answeredAt.IsZero() && first.After(request.answeredAt) {
 		x.failf("%s (%s) was started %v after its answer", id, request.class, first.Sub(request.answeredAt))
 	}
-	if !s.drainingSince.IsZero() && first.After(s.drainingSince.Add(drainGrace)) {
-		x.failf("%s was sent to %s %v after that was reported as draining or removed", id, s.id, first.Sub(s.drainingSince))
+	if !s.notServingSince.IsZero() && first.After(s.notServingSince.Add(drainGrace)) {
+		x.failf("%s was sent to %s %v after that was reported as draining or removed", id, s.id, first.Sub(s.notServingSince))
 	}
-	if c.outOfStep || len(c.pending) > 0 {
+	if c.outOfSync || len(c.pending) > 0 {
 		x.failf("%s was sent on a connection that is out of step or has a pending answer", id)
 	}
 	for _, earlier := range request.arrivals {
@@ -870,8 +870,8 @@
 			x.failf("%s (%s) has two attempts in flight, at %s and %s", id, request.class, earlier.server.id, s.id)
 		}
 	}
-	attempt := &arrival{server: s, request: request, firstByteAt: first, ended: c.closed}
-	request.arrivals, c.pending = append(request.arrivals, attempt), append(c.pending, attempt)
+	arrived := &arrival{server: s, request: request, firstByteAt: first, ended: c.closed}
+	request.arrivals, c.pending = append(request.arrivals, arrived), append(c.pending, arrived)
 }
 
 // checkDeadline checks the time left that an attempt passed to its server, which counts from the attempt's last byte:
@@ -1095,7 +1095,9 @@
 
 // runScenario performs the actions on a new gateway and returns what went wrong, or "".
 func runScenario(t *testing.T, s scenario, steps []action) (failure string) {
-	defer func() { // goroutines of a failed gateway may be left
+	// A failed run may leave goroutines that block for good. synctest.Test, which provides the virtual clock, then
+	// panics. That panic is recovered here; if no failure was found before, it is the failure.
+	defer func() {
 		if p := recover(); p != nil && failure == "" {
 			failure = fmt.Sprint(p)
 		}
--- a/internal/gateway/slow_test.go
+++ b/internal/gateway/slow_test.go
@@ -234,7 +234,7 @@
 }
 
 // Guards against a request whose last byte is written long after its first. Its d would promise more time than the
-// client has left, and the server might no longer recognise it as a repeat.
+// client has left, and the server might no longer recognize it as a repeat.
 func TestSlowlyWrittenRequestIsGivenUp(t *testing.T) {
 	l, a, far := openLargeRequest(t)
 	started := time.Now()
@@ -249,16 +249,16 @@
 	}
 	far.Close()
 	now := l.clock.now()
-	for name, tc := range map[string]struct{ until, before, want time.Duration }{
+	for name, tc := range map[string]struct{ deadline, sendBefore, want time.Duration }{
 		"much time":       {time.Second, 0, requestWriteTimeout},
 		"little time":     {time.Second / 50, 0, time.Second / 50},
 		"a window's end":  {time.Second, time.Second / 40, time.Second / 40},
 		"no time":         {-time.Second, 0, time.Millisecond},
 		"a window passed": {time.Second, -time.Second, time.Millisecond},
 	} {
-		b := &attempt{deadline: now + tc.until}
-		if tc.before != 0 {
-			b.sendBefore = now + tc.before
+		b := &attempt{deadline: now + tc.deadline}
+		if tc.sendBefore != 0 {
+			b.sendBefore = now + tc.sendBefore
 		}
 		if got := l.pool.requestWriteLimit(b); got > tc.want || got < time.Millisecond {
 			t.Errorf("%s: %v, want %v", name, got, tc.want)
--- a/internal/gateway/streamconn.go
+++ b/internal/gateway/streamconn.go
@@ -13,8 +13,8 @@
 	"winghatch/internal/platform"
 )
 
-// streamConn is a stream connection as the gateway uses it: one goroutine reads from it, and the loop writes to it without
-// blocking.
+// streamConn is a stream connection as the gateway uses it: one goroutine reads from it, and the loop writes to it
+// without blocking.
 type streamConn interface {
 	net.Conn
 	// TryWrite writes as much of b as is accepted without blocking. It is no error if nothing is accepted.
@@ -31,8 +31,8 @@
 	CloseWrite() error
 }
 
-// transientRetryDelay is the pause before a system call is retried that failed because this machine temporarily lacked a
-// resource.
+// transientRetryDelay is the pause before the retry of a system call that failed because this machine temporarily
+// lacked a resource.
 const transientRetryDelay = 2 * time.Millisecond
 
 // tcpConn is a streamConn over TCP.
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -44,7 +44,7 @@
 	serverCloseReplaced         serverCloseReason = "replaced"    // the server is draining, was removed, or has moved
 	serverCloseEvicted          serverCloseReason = "room"        // another connection needed its descriptor
 	serverCloseIdle             serverCloseReason = "idle"        // unused for the idle timeout
-	serverCloseOutOfSync        serverCloseReason = "out_of_step" // unsolicited data, or an answer that was not fully read
+	serverCloseOutOfSync        serverCloseReason = "out_of_step" // unsolicited data, or a partly read answer
 	serverCloseBroken           serverCloseReason = "broken"
 	serverCloseAttemptAbandoned serverCloseReason = "given_up" // its attempt was cancelled or timed out
 	serverCloseShutdown         serverCloseReason = "shutdown"
@@ -56,7 +56,7 @@
 	addr      string
 	entry     decide.Server
 	connCount int             // open or being dialed
-	idle      []*upstreamConn // by last use; the most recently used, at the end, is the least likely to have been closed
+	idle      []*upstreamConn // the most recently used last: it is the least likely to have been closed
 }
 
 // upstreamConn is a connection to a server. It carries one attempt at a time, because abandoning an attempt closes its
@@ -126,8 +126,8 @@
 	p.removeIfUnused(s)
 }
 
-// removeIfUnused deletes a removed server once it has no connections left. Fleets replace their machines under new IDs, so
-// without this the table would grow for as long as the gateway runs.
+// removeIfUnused deletes a removed server once it has no connections left. Fleets replace their machines under new IDs,
+// so without this the table would grow for as long as the gateway runs.
 func (p *pool) removeIfUnused(s *upstream) {
 	if s.entry.State == decide.Removed && s.connCount == 0 {
 		delete(p.servers, s.id)
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// A starting gateway waits for discovery before it accepts clients: the list that the process was started with may be out
-// of date, and what discovery has announced since counts from the first request on.
+// A starting gateway waits for discovery before it accepts clients: the list that the process was started with may be
+// out of date, and what discovery has announced since counts from the first request on.
 const (
 	warmupFirstByteTimeout = 100 * time.Millisecond // limits the wait for the beginning of an answer
-	// Limits the wait for the end of an answer that has begun. Reading a list of thousands of servers takes a while on a
-	// fraction of a core. Before the list is read, requests would go to servers that are known to be draining.
+	// Limits the wait for the end of an answer that has begun. Reading a list of thousands of servers takes a while on
+	// a fraction of a core. Before the list is read, requests would go to servers that are known to be draining.
 	warmupAnswerTimeout = 2 * time.Second
 )
 
@@ -27,8 +27,8 @@
 	}
 }
 
-// await waits for discovery's answer: at most firstByteTimeout until it begins, and then at most answerTimeout until it was
-// passed to the loop.
+// await waits for discovery's answer: at most firstByteTimeout until it begins, and then at most answerTimeout until it
+// was passed to the loop.
 func (w discoveryWarmup) await(firstByteTimeout, answerTimeout time.Duration) {
 	select {
 	case <-w.answered:
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -14,12 +14,13 @@
 	"time"
 )
 
-// A gateway must apply the changes that discovery has announced since the configured list was written before it sends on
-// its first request. Otherwise a request that arrives before discovery's first answer goes to a server that is draining.
+// A gateway must apply the changes that discovery has announced since the configured list was written before it sends
+// on its first request. Otherwise a request that arrives before discovery's first answer goes to a server that is
+// draining.
 func TestStartWaitsForDiscovery(t *testing.T) {
 	b := newBackend(t)
 	cfg := testConfig(t, longTarget, entries("up", b))
-	cfg.warmupTimeout = testTimeout
+	cfg.discoveryFirstByteTimeout = testTimeout
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +55,8 @@
 	select {
 	case x := <-b.got:
 		t.Errorf("the server got %q before discovery answered", x.args)
-	case <-time.After(20 * time.Millisecond): // long enough to catch a gateway that does not wait; one that waits passes at any speed
+	// long enough to catch a gateway that does not wait; one that waits passes at any speed
+	case <-time.After(20 * time.Millisecond):
 	}
 	close(answer)
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -70,12 +72,13 @@
 	}
 }
 
-// A discovery service that does not answer must not delay the start for long: the gateway serves with the list that it has.
+// A discovery service that does not answer must not delay the start for long: the gateway serves with the list that it
+// has.
 func TestSilentDiscoveryDoesNotBlockTheStart(t *testing.T) {
 	b, silent := newBackend(t), newBackend(t)
 	cfg := testConfig(t, longTarget, entries("up", b))
 	cfg.Discovery = mustAddr(silent.addr)
-	cfg.warmupTimeout = time.Millisecond
+	cfg.discoveryFirstByteTimeout = time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -89,8 +92,8 @@
 	c.expect("$v")
 }
 
-// After a watch call is reset, the next call must continue from the same version, so that no change is missed. The test's
-// list is indented JSON, which must be accepted too.
+// After a watch call is reset, the next call must continue from the same version, so that no change is missed. The
+// test's list is indented JSON, which must be accepted too.
 func TestResetWatchMissesNoChange(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -141,7 +144,7 @@
 		default:
 		}
 	}, slog.New(slog.DiscardHandler))
-	w.hasList, w.version, w.agent = true, 41, true
+	w.hasList, w.version, w.usesAgent = true, 41, true
 	w.pause = func(context.Context, time.Duration) {}
 	go w.run(ctx)
 	if n := (<-posted).(listReceived); n.list.Version != 42 || n.list.Servers[0].State != "draining" {
@@ -166,12 +169,12 @@
 	}
 }
 
-// If discovery has begun to answer, the gateway must wait for the end of the answer before it accepts its first request. A
-// long list on a busy machine may take longer than the wait for a discovery service that does not answer.
+// If discovery has begun to answer, the gateway must wait for the end of the answer before it accepts its first
+// request. A long list on a busy machine may take longer than the wait for a discovery service that does not answer.
 func TestStartWaitsForAnswerInProgress(t *testing.T) {
 	b := newBackend(t)
 	cfg := testConfig(t, longTarget, entries("up", b))
-	cfg.warmupTimeout = 200 * time.Millisecond
+	cfg.discoveryFirstByteTimeout = 200 * time.Millisecond
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -183,7 +186,7 @@
 		}
 		fmt.Fprint(w, `{"version":2,"full":false,`)
 		http.NewResponseController(w).Flush()
-		time.Sleep(3 * cfg.warmupTimeout)
+		time.Sleep(3 * cfg.discoveryFirstByteTimeout)
 		rest, err := json.Marshal(entries("draining", b))
 		if err != nil {
 			t.Error(err)
@@ -224,9 +227,9 @@
 	}
 }
 
-// A request that is queued while a starting gateway waits for discovery must be sent on with no more time than its client
-// has left. This happens because the load balancer in front may not have noticed yet that the previous process was killed,
-// and goes on sending.
+// A request that waits in the accept queue while a starting gateway waits for discovery must be sent on with no more
+// time than its client has left. This happens because the load balancer in front may not have noticed yet that the
+// previous process was killed, and goes on sending.
 func TestRequestQueuedBeforeStartKeepsItsDeadline(t *testing.T) {
 	const (
 		answerDelay   = 600 * time.Millisecond // how long discovery's answer takes once it has begun
@@ -234,7 +237,7 @@
 	)
 	b := newBackend(t)
 	cfg := testConfig(t, clientTimeout+time.Second, entries("up", b))
-	cfg.warmupTimeout = testTimeout
+	cfg.discoveryFirstByteTimeout = testTimeout
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes the gateway's log to an output that may be slow, blocked or closed. Logging never blocks the caller
-// and never returns an error. Lines that do not fit into the queue are dropped and counted.
+// Package logging writes the gateway's log to an output that may be slow, blocked or closed. Logging never blocks the
+// caller and never returns an error. Lines that do not fit into the queue are dropped and counted.
 package logging
 
 import (
@@ -24,8 +24,8 @@
 	dropped atomic.Uint64
 }
 
-// NewWriter returns a Writer that writes to out. Its goroutine runs until the process ends, because a blocked write can't be
-// cancelled.
+// NewWriter returns a Writer that writes to out. Its goroutine runs until the process ends, because a blocked write
+// can't be cancelled.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), flush: make(chan chan struct{})}
 	go w.run()
@@ -46,7 +46,7 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines have been lost so far, in the queue or by failed writes.
+// Dropped returns how many lines have been lost so far because the queue was full or a write failed.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
 // Flush waits until the queued lines are written, or until timeout has passed.
@@ -80,8 +80,8 @@
 	}
 }
 
-// writeLine writes a line. If more lines have been dropped than reported, it first writes a warning with the difference. It
-// returns the number of dropped lines that are reported now.
+// writeLine writes a line. If more lines have been dropped than reported, it first writes a warning with the
+// difference. It returns the number of dropped lines that are reported now.
 func (w *Writer) writeLine(line []byte, reported uint64) uint64 {
 	if dropped := w.dropped.Load(); dropped > reported {
 		if _, err := fmt.Fprintf(w.out, "level=WARN msg=\"log lines were dropped\" lines=%d\n", dropped-reported); err == nil {
@@ -113,7 +113,8 @@
 	suppressed int
 }
 
-// Allow reports whether a line may be logged now, and how many lines were suppressed since the last one that was allowed.
+// Allow reports whether a line may be logged now, and how many lines were suppressed since the last one that was
+// allowed.
 func (l *Limiter) Allow(now time.Time) (suppressed int, ok bool) {
 	if !l.last.IsZero() && now.Sub(l.last) < l.Interval {
 		l.suppressed++
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -26,7 +26,8 @@
 	return g.text.Write(b)
 }
 
-// While the output is blocked, Write must not block. Lines beyond the queue are dropped, and their number is logged later.
+// While the output is blocked, Write must not block. Lines beyond the queue are dropped, and their number is logged
+// later.
 func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
 	g := &blockedWriter{open: make(chan struct{})}
 	w := NewWriter(g)
--- a/internal/platform/errors.go
+++ b/internal/platform/errors.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// transientErrors lists the errors by which a system call reports that a local resource is exhausted now but may be available
-// again soon. They come from the manual pages of socket, bind, listen, accept, connect, send, recv, open and read. None of
-// them says anything about the other end of a connection.
+// transientErrors lists the errors by which a system call reports that a local resource is exhausted now but may be
+// available again soon. They come from the manual pages of socket, bind, listen, accept, connect, send, recv, open and
+// read. None of them says anything about the other end of a connection.
 var transientErrors = []error{syscall.EAGAIN, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL}
 
@@ -17,8 +17,8 @@
 // IsAddressInUse reports whether an address can't be bound because another process still uses it.
 func IsAddressInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
 
-// IsUnreachable reports whether the other end could not be reached over the network. Either this machine has no route at the
-// moment, or the other end is disconnected.
+// IsUnreachable reports whether the other end could not be reached over the network. Either this machine has no route
+// at the moment, or the other end is disconnected.
 func IsUnreachable(err error) bool {
 	return isAny(err, []error{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN})
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform wraps the operating system services that the gateway uses: the wall clock, files, and the system calls
-// on sockets that can fail transiently. In the default build each function is a thin wrapper. In a build with the tag
-// faultinjection a test decides when these calls fail, and with which error, without changing the machine.
+// Package platform wraps the operating system services that the gateway uses: the wall clock, files, and the system
+// calls on sockets that can fail transiently. In the default build each function is a thin wrapper. In a build with the
+// tag faultinjection a test decides when these calls fail, and with which error, without changing the machine.
 package platform
 
 import (
--- a/internal/platform/script.go
+++ b/internal/platform/script.go
@@ -1,7 +1,7 @@
 package platform
 
-// Script says which calls of a process fail, and when. It takes effect only in a build with the tag faultinjection. Such a
-// build reads it as JSON from the environment variable GW_FAULTS.
+// Script says which calls of a process fail, and when. It takes effect only in a build with the tag faultinjection.
+// Such a build reads it as JSON from the environment variable GW_FAULTS.
 type Script struct {
 	WallOffsetMS int64  `json:"wall_offset_ms"` // how far the wall clock is ahead
 	Rules        []Rule `json:"rules"`
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -44,8 +44,8 @@
 	return string(b)
 }
 
-// FuzzSettings checks that a gateway with accepted settings can serve requests within the memory limit, and that the error for
-// rejected settings names the field at fault. Only for invalid JSON the error may give the position instead.
+// FuzzSettings checks that a gateway with accepted settings can serve requests within the memory limit, and that the
+// error for rejected settings names the field at fault. Only for invalid JSON the error may give the position instead.
 func FuzzSettings(f *testing.F) {
 	second := time.Second.Nanoseconds()
 	add := func(aim, giveUp, window int64, importance, intake, units float64, gateways, rank, limit int, rate, burst float64) {
@@ -81,8 +81,8 @@
 	})
 }
 
-// serveRequests starts a decision engine with the settings. It handles a request for each pair of the first 4 classes and the first 4
-// plans, and then 64 heartbeat timers.
+// serveRequests starts a decision engine with the settings. It handles a request for each pair of the first 4 classes
+// and the first 4 plans, and then 64 heartbeat timers.
 func serveRequests(t *testing.T, s Settings, text string) {
 	if s.Decide.Limits.Peers && len(s.Decide.Plans) > maxPlansWithPeers {
 		t.Fatalf("%d plans are accepted, more than messages between gateways can distinguish", len(s.Decide.Plans))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,8 +55,9 @@
 	OpenCap int // maximum number of open requests; 0: no limit
 }
 
-// idleDivisor divides the time for which servers keep an idle connection. The gateway closes an idle connection after the
-// quotient, because a request that is sent while the server closes the connection would end as a reset.
+// idleDivisor divides the time after which servers close an idle connection at the latest. The gateway closes an idle
+// connection after the quotient, because a request that is sent while the server closes the connection would end as a
+// reset.
 const idleDivisor = 3
 
 // NameField returns err with the name of the field that could not be decoded, if err holds that name.
@@ -81,7 +82,8 @@
 	return Settings{Decide: c, OpenCap: s.Limits.OpenCap}, err
 }
 
-// Limits of the settings. With values beyond them a gateway would start, but then run out of memory or serve no requests.
+// Limits of the settings. With values beyond them a gateway would start, but then run out of memory or serve no
+// requests.
 const (
 	maxInstances      = 1 << 16
 	maxTiersWithPeers = 64                   // only with peers: messages between gateways identify a tier by one digit
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry holds the metrics of a gateway: answers, attempts, closed connections, failed system calls and invariant
-// violations, each by its reason. They are served over HTTP in the Prometheus text format and summarized in the log at
-// shutdown.
+// Package telemetry holds the metrics of a gateway: answers, attempts, closed connections, failed system calls and
+// invariant violations, with labels that say of which kind or for which reason. They are served over HTTP in the
+// Prometheus text format and summarized in the log at shutdown.
 package telemetry
 
 import (
@@ -21,7 +21,7 @@
 type Metrics struct {
 	set *metrics.Set
 
-	Answers           *Family // requests by result: served, refused, failed, or abandoned because the client disconnected
+	Answers           *Family // requests by result: served, refused, failed, or abandoned (the client disconnected)
 	Refusals          *Family // refused requests by reason
 	Failures          *Family // failed requests by reason
 	Attempts          *Family // attempts by outcome
--- a/internal/watch/fleet_test.go
+++ b/internal/watch/fleet_test.go
@@ -16,9 +16,9 @@
 	Done(now time.Duration, r Result) Step
 }
 
-// previousPolicy is the policy that gateways used before Pacer, for comparison in the same model. A Check times out after
-// 250 ms, which doubles up to 2 s with each further failure. The pause after a failure is 50 ms. The pauses after refusals
-// double from firstPause to maxPause.
+// previousPolicy is the policy that gateways used before Pacer, for comparison in the same model. A Check times out
+// after 250 ms, which doubles up to 2 s with each further failure. The pause after a failure is 50 ms. The pauses after
+// refusals double from firstPause to maxPause.
 type previousPolicy struct {
 	firstPause, maxPause, pause, callTimeout time.Duration
 	rng                                      *rand.Rand
@@ -83,10 +83,10 @@
 	return x
 }
 
-// model simulates a number of gateways and the one discovery that serves them. Discovery serves calls in order of arrival.
-// Each takes the same time, also if its caller has given up. A call that finds the queue full (maxQueuedWork) is refused at
-// once, which costs the fraction refusalCost of a call's work. A watch starts to wait when it has been served; its answer
-// then costs nothing.
+// model simulates a number of gateways and the one discovery that serves them. Discovery serves calls in order of
+// arrival. Each takes the same time, also if its caller has given up. A call that finds the queue full (maxQueuedWork)
+// is refused at once, which costs the fraction refusalCost of a call's work. A watch starts to wait when it has been
+// served; its answer then costs nothing.
 type model struct {
 	now              time.Duration
 	seq              int
@@ -267,8 +267,8 @@
 	}
 }
 
-// summary holds the results of a run: the delays until gateways received changes, the number of gateways that did not receive
-// all of them, and the calls per second.
+// summary holds the results of a run: the delays until gateways received changes, the number of gateways that did not
+// receive all of them, and the calls per second.
 type summary struct {
 	maxDelay, p90Delay    time.Duration
 	neverUpdated          int
@@ -276,7 +276,7 @@
 	refusals, wasted, all int
 }
 
-// summarize returns the results. Calls are counted from second from to second to.
+// summarize returns the results. Calls are counted from the second from up to, but not including, the second to.
 func (m *model) summarize(from, to int) summary {
 	var x summary
 	for s := from; s < to; s++ {
@@ -303,8 +303,8 @@
 		x.maxDelay.Seconds(), x.p90Delay.Seconds(), x.neverUpdated, x.meanCalls, x.peakCalls, x.refusals, x.wasted)
 }
 
-// scenario is a sequence of events at discovery. The gateways start from 0 to 4 s, or all at once at 10 s. The results are
-// those of the time from 10 to 40 s.
+// scenario is a sequence of events at discovery. The gateways start from 0 to 4 s, or all at once at 10 s. The results
+// are those of the time from 10 to 40 s.
 type scenario struct {
 	name   string
 	atOnce bool
@@ -327,7 +327,7 @@
 	}
 	return []scenario{
 		{"steady", false, func(m *model) { changes(m, 20) }},
-		{"outage", false, func(m *model) { // of 8 s; changes begin during the outage
+		{"outage", false, func(m *model) { // of 8 s; a release begins in it: a series of changes
 			m.schedule(seconds(12), m.goDown)
 			m.schedule(seconds(20), m.restore)
 			changes(m, 17, 19, 20.5, 23)
@@ -354,8 +354,8 @@
 	}
 }
 
-// runScenario runs a scenario with n gateways. Discovery serves capacity calls a second, and a refusal costs a tenth of a call's
-// work.
+// runScenario runs a scenario with n gateways. Discovery serves capacity calls a second, and a refusal costs a tenth of
+// a call's work.
 func runScenario(s scenario, n int, capacity float64, seed uint64, newCaller func(*rand.Rand) caller) summary {
 	m := newModel(n, capacity, 0.1, seed, newCaller)
 	if s.atOnce {
@@ -392,9 +392,9 @@
 	}
 }
 
-// All gateways must receive changes in time, and keep to the limits on calls, in every scenario, if discovery has the capacity
-// that the package comment requires. An outage, an overload or silent watches that affect all gateways at once could delay
-// changes beyond the limit.
+// All gateways must receive changes in time, and keep to the limits on calls, in every scenario, if discovery has the
+// capacity that the package comment requires. An outage, an overload or silent watches that affect all gateways at once
+// could delay changes beyond the limit.
 func TestServerListUpdateIsNotLate(t *testing.T) {
 	const maxDelay = watchWait + watchGrace + 100*time.Millisecond // a watch may fall silent as soon as it starts
 	for _, c := range []deployment{{2, 4}, {30, 15}, {300, 150}} {
@@ -411,9 +411,9 @@
 	}
 }
 
-// A discovery whose capacity is too small must not be flooded with retries: calls keep to the limits in the package comment, no
-// served call is wasted, and the gateways receive changes one after another. The last deployment once made 36,735 calls
-// in 26 s. Its calls in steady operation alone, 20 a second, exceed the capacity.
+// A discovery whose capacity is too small must not be flooded with retries: calls keep to the limits in the package
+// comment, no served call is wasted, and the gateways receive changes one after another. The last deployment once made
+// 36,735 calls in 26 s. Its calls in steady operation alone, 20 a second, exceed the capacity.
 func TestUndersizedDiscoveryIsNotFlooded(t *testing.T) {
 	for _, tc := range []struct {
 		deployment
@@ -433,9 +433,9 @@
 	}
 }
 
-// BenchmarkRetryPolicies compares Pacer with the previous policy, with pauses after refusals of 4 to 16 s and of a constant
-// 50 ms. It reports the maximum and the 90th percentile of the seconds until a change is received, the gateways that
-// are never updated, the mean and the peak of the calls a second, and the wasted calls.
+// BenchmarkRetryPolicies compares Pacer with the previous policy, with pauses after refusals of 4 to 16 s and of a
+// constant 50 ms. It reports the maximum and the 90th percentile of the seconds until a change is received, the
+// gateways that are never updated, the mean and the peak of the calls a second, and the wasted calls.
 func BenchmarkRetryPolicies(b *testing.B) {
 	previous := func(firstPause, maxPause time.Duration) func(*rand.Rand) caller {
 		return func(r *rand.Rand) caller { return newPreviousPolicy(firstPause, maxPause, r) }
--- a/internal/watch/pacer.go
+++ b/internal/watch/pacer.go
@@ -1,14 +1,16 @@
-// Package watch decides when and how a gateway calls discovery. It is a pure state machine without I/O, clock or goroutines.
-// The caller asks it for the next call, makes that call, reports the outcome, and pauses as the result says.
+// Package watch decides when and how a gateway calls discovery. It is a pure state machine without I/O, clock or
+// goroutines. The caller asks it for the next call, makes that call, reports the outcome, and pauses as the result
+// says.
 //
 // # Maximum update delay
 //
-// A gateway must receive a change at most 6 s after discovery has it and can be reached. A change that a silent watch misses
-// must be received at most 6 s after the watch fell silent, or 2 s after the end of its wait if that is later. This holds
-// whatever calls failed, were refused or timed out in between.
+// A gateway must receive a change at most 6 s after discovery has it and can be reached. A change that a silent watch
+// misses must be received at most 6 s after the watch fell silent, or 2 s after the end of its wait if that is later.
+// This holds whatever calls failed, were refused or timed out in between.
 //
-// The table lists all paths from that moment to the answer, with each pause at its maximum, for a gateway that calls discovery
-// itself. "queue" is how long a call waits in discovery's queue: 0 if discovery is idle, 2 s if its queue is full.
+// The table lists all paths from that moment to the answer, with each pause at its maximum, for a gateway that calls
+// discovery itself. "queue" is how long a call waits in discovery's queue: 0 if discovery is idle, 2 s if its queue is
+// full.
 //
 //	pause after refusals 2.5 s, call                                         2.5 s + queue
 //	call that times out 2.2 s, pause 0.3 s, call                             2.5 s + queue
@@ -19,28 +21,30 @@
 //	silent watch, refusal, pause that ends at 5 s, call                      5.0 s + queue
 //	discovery restarted its versions: the call for the full list in addition + queue
 //
-// The longest path is 4.5 s with a full queue, with two exceptions. A silent watch leaves 1.5 s for the queue. A refusal after
-// a call that timed out or after a silent watch leaves 1 s. A path is longer only if discovery refuses twice after the moment
-// from which the delay is counted. A discovery that keeps refusing is serving other callers; the gateway then tries again at
-// most 0.8, 2.4 and 4.9 s after the first refusal. With an agent on the gateway's machine a call times out after 0.2 s and
-// no pause follows. All other pauses with an agent, except those after refusals, are at most 0.05 s.
+// The longest path is 4.5 s with a full queue, with two exceptions. A silent watch leaves 1.5 s for the queue. A
+// refusal after a call that timed out or after a silent watch leaves 1 s. A path is longer only if discovery refuses
+// twice after the moment from which the delay is counted. A discovery that keeps refusing is serving other callers; the
+// gateway then tries again at most 0.8, 2.4 and 4.9 s after the first refusal. With an agent on the gateway's machine a
+// call times out after 0.2 s and no pause follows. All other pauses with an agent, except those after refusals, are at
+// most 0.05 s.
 //
 // # Required capacity of discovery
 //
-// Each gateway makes one call every 4 s and one more for each change. An event that affects all gateways makes all of them
-// call at once. With n gateways, discovery has to serve n/4 calls a second in steady operation. If it serves n/2 calls a
-// second, its queue of 2 s holds a call of each gateway: then no calls are refused for long, and all paths above hold. At
-// 0.3 n calls a second, 90 % of the gateways received changes within 9 s and all within 15 s in the model of the tests. Below
-// n/4, calls are refused for as long as that lasts, and the gateways receive changes one after another: all refused gateways
-// together make at most n/1.25 calls a second. Queued calls are not given up, so discovery does almost no work for callers that
-// have left.
+// Each gateway makes one call every 4 s and one more for each change. An event that affects all gateways makes all of
+// them call at once. With n gateways, discovery has to serve n/4 calls a second in steady operation. If it serves n/2
+// calls a second, its queue of 2 s holds a call of each gateway: then no calls are refused for long, and all paths
+// above hold. At 0.3 n calls a second, 90 % of the gateways received changes within 9 s and all within 15 s in the
+// model of the tests. Below n/4, calls are refused for as long as that lasts, and the gateways receive changes one
+// after another: all refused gateways together make at most n/1.25 calls a second. Queued calls are not given up, so
+// discovery does almost no work for callers that have left.
 //
 // # Agents
 //
-// An agent on the gateway's machine does not answer while discovery is down. A change that it gets when discovery returns must
-// be received at once. So the calls that find out whether the agent is back follow one another without a pause. The next call
-// goes out after at most 0.2 s, which the drain grace of 0.25 s has to cover. The first call of a process is also such a call,
-// because a watch can't distinguish a silent agent from a server list that does not change.
+// An agent on the gateway's machine does not answer while discovery is down. A change that it gets when discovery
+// returns must be received at once. So the calls that find out whether the agent is back follow one another without a
+// pause. The next call goes out after at most 0.2 s, which the drain grace of 0.25 s has to cover. The first call of a
+// process is also such a call, because a watch can't distinguish a silent agent from a server list that does not
+// change.
 package watch
 
 import (
@@ -50,12 +54,12 @@
 )
 
 const (
-	// AnswerTimeout is the time within which an agent's answer must be complete once it has begun. It equals the longest
-	// timeout of a call that is not a watch.
+	// AnswerTimeout is the time within which an agent's answer must be complete once it has begun. It equals the
+	// longest timeout of a call that is not a watch.
 	AnswerTimeout = maxCallTimeout
 
-	// MaxUpdateDelay is the operators' limit for the time until a gateway receives a change. The package comment says how it
-	// is counted.
+	// MaxUpdateDelay is the operators' limit for the time until a gateway receives a change. The package comment says
+	// how it is counted.
 	MaxUpdateDelay = 6 * time.Second
 	// answerReserve is the part of MaxUpdateDelay that is kept for the last call: its time in the queue, its answer,
 	// and the delivery of the list in the gateway.
@@ -65,26 +69,26 @@
 	watchWait         = 4 * time.Second        // how long a watch waits for changes
 	watchGrace        = 500 * time.Millisecond // a watch times out this long after its wait
 	agentCheckTimeout = 200 * time.Millisecond // timeout of a call to an agent that is not a watch
-	// maxCallTimeout is the timeout of a call that is not a watch. Discovery also works on calls that timed out, and a caller
-	// that gives up while queued joins the end of the same queue. So the timeout covers a full queue, which was observed to
-	// be 2 s, and the round trip. A shorter configured timeout doubles up to this value. In the model with 300 gateways, an
-	// initial timeout of 1 s wasted up to 800 calls in 30 s, and 2.2 s wasted none.
+	// maxCallTimeout is the timeout of a call that is not a watch. Discovery also works on calls that timed out, and a
+	// caller that gives up while queued joins the end of the same queue. So the timeout covers a full queue, which was
+	// observed to be 2 s, and the round trip. A shorter configured timeout doubles up to this value. In the model with
+	// 300 gateways, an initial timeout of 1 s wasted up to 800 calls in 30 s, and 2.2 s wasted none.
 	maxCallTimeout = 2200 * time.Millisecond
 
-	// RetryPause is the pause after the first failure, after each immediate failure of an agent, and before the next call to
-	// a discovery that answers a watch at once with no changes. Without an agent it doubles with each further failure, up to
-	// maxRetryPause.
+	// RetryPause is the pause after the first failure, after each immediate failure of an agent, and before the next
+	// call to a discovery that answers a watch at once with no changes. Without an agent it doubles with each further
+	// failure, up to maxRetryPause.
 	RetryPause    = 50 * time.Millisecond
 	maxRetryPause = time.Second
 	// maxTimeoutPause is the longest pause after a call that timed out. The pause is random, because gateways that lost
 	// discovery at the same moment would otherwise call again at the same moment.
 	maxTimeoutPause = 300 * time.Millisecond
 
-	// FirstRefusalPause and MaxRefusalPause are the first and the greatest upper limit of the pause after a refusal. The limit
-	// doubles with each refusal, and an answer halves it. The pause is random, between half the limit and the limit.
-	// The first limit is short, because little of MaxUpdateDelay may be left. The greatest limit and a full queue make 4.5 s.
-	// In the model, first limits of 0.4 to 2.5 s make little difference if all gateways fit into the queue; if they do not,
-	// they make little difference for half of the gateways.
+	// FirstRefusalPause and MaxRefusalPause are the first and the greatest upper limit of the pause after a refusal.
+	// The limit doubles with each refusal, and an answer halves it. The pause is random, between half the limit and the
+	// limit. The first limit is short, because little of MaxUpdateDelay may be left. The greatest limit and a full
+	// queue make 4.5 s. In the model, first limits of 0.4 to 2.5 s make little difference if all gateways fit into the
+	// queue; if they do not, they make little difference for half of the gateways.
 	FirstRefusalPause = 800 * time.Millisecond
 	MaxRefusalPause   = 2500 * time.Millisecond
 )
@@ -94,7 +98,7 @@
 
 // Config configures how a gateway calls discovery. A duration of 0 means the default.
 type Config struct {
-	Agent        bool          // calls go to an agent on the gateway's machine, to which lists are pushed; they cost nothing
+	Agent        bool          // discovery pushes lists to an agent on this machine; calls to it cost nothing
 	HasList      bool          // the gateway already holds a full list, of the given Version
 	Version      uint64        // of the list that the gateway holds
 	WatchWait    time.Duration // how long a watch waits for changes; default 4 s
@@ -148,21 +152,21 @@
 	Pause      time.Duration // before the next call
 }
 
-// Pacer schedules the calls of one gateway, one at a time. Its random numbers come from the given source. It is not safe for
-// concurrent use.
+// Pacer schedules the calls of one gateway, one at a time. Its random numbers come from the given source. It is not
+// safe for concurrent use.
 type Pacer struct {
-	cfg          Config
-	rng          *rand.Rand
-	hasList      bool
-	version      uint64
-	failing      bool          // the next call is a Check, which finds out whether discovery is up
-	callTimeout  time.Duration // of calls other than watches
-	retryPause   time.Duration // upper limit of the pause after the next failure
-	emptyPause   time.Duration // upper limit of the pause after the next immediate answer without changes
-	refusalPause time.Duration // upper limit of the pause after the next refusal
-	call         Call
-	calledAt     time.Duration
-	nextCallBy   time.Duration // latest time of the call after the next refusal; 0: no limit
+	cfg               Config
+	rng               *rand.Rand
+	hasList           bool
+	version           uint64
+	failing           bool          // the next call is no watch; its immediate answer shows whether discovery is up
+	callTimeout       time.Duration // of calls other than watches
+	retryPauseLimit   time.Duration // upper limit of the pause after the next failure
+	emptyPauseLimit   time.Duration // upper limit of the pause after the next immediate answer without changes
+	refusalPauseLimit time.Duration // upper limit of the pause after the next refusal
+	call              Call
+	calledAt          time.Duration
+	nextCallBy        time.Duration // latest time of the call after the next refusal; 0: no limit
 }
 
 // New returns a Pacer for a gateway that has made no call yet.
@@ -185,16 +189,17 @@
 	return p
 }
 
-// resetBackoff resets the state after an answer. The refusal pause is only halved: a gateway that has just received an answer
-// can wait longer than one that has not.
+// resetBackoff resets the state after an answer. The limit of the refusal pause is only halved: a gateway that has just
+// received an answer can wait longer than one that has not.
 func (p *Pacer) resetBackoff() {
-	p.failing, p.callTimeout, p.retryPause, p.refusalPause, p.nextCallBy =
-		false, p.cfg.CheckTimeout, RetryPause, max(p.refusalPause/2, FirstRefusalPause), 0
+	p.failing, p.callTimeout, p.retryPauseLimit, p.refusalPauseLimit, p.nextCallBy =
+		false, p.cfg.CheckTimeout, RetryPause, max(p.refusalPauseLimit/2, FirstRefusalPause), 0
 }
 
-// Next returns the call to make now. All times are offsets from one arbitrary moment. A watch can't distinguish a discovery
-// that is down from a server list that does not change. So after a failure the next call is a Check, which is answered at
-// once. After a refusal the watch itself is repeated: discovery is known to be up, and a Check would only add load.
+// Next returns the call to make now. All times are offsets from one arbitrary moment. A watch can't distinguish a
+// discovery that is down from a server list that does not change. So after a failure the next call is a Check (or
+// FullList, if the gateway holds no list), which is answered at once. After a refusal the watch itself is repeated:
+// discovery is known to be up, and a Check would only add load.
 func (p *Pacer) Next(now time.Duration) Call {
 	switch {
 	case !p.hasList:
@@ -226,7 +231,7 @@
 // onAnswer returns what to do after an answer.
 func (p *Pacer) onAnswer(now time.Duration, r Result) Step {
 	p.resetBackoff()
-	if p.hasList && !r.Full && r.Version < p.version { // discovery restarted its versions; its changes do not apply here
+	if p.hasList && !r.Full && r.Version < p.version { // versions restarted: its changes do not fit the held list
 		p.hasList = false
 		return Step{}
 	}
@@ -234,25 +239,25 @@
 	s := Step{HasChanges: r.Full || r.Entries > 0, UpToDate: true}
 	switch {
 	case s.HasChanges || now-p.calledAt >= RetryPause:
-		p.emptyPause = RetryPause
+		p.emptyPauseLimit = RetryPause
 	case p.call.Kind == Check:
 		s.Pause = RetryPause
 	default: // avoid a busy loop if discovery answers watches at once
-		p.emptyPause = max(p.emptyPause, RetryPause)
-		s.Pause, p.emptyPause = p.jitter(p.emptyPause), p.nextPause(p.emptyPause, maxRetryPause)
+		p.emptyPauseLimit = max(p.emptyPauseLimit, RetryPause)
+		s.Pause, p.emptyPauseLimit = p.jitter(p.emptyPauseLimit), p.nextPause(p.emptyPauseLimit, maxRetryPause)
 	}
 	return s
 }
 
-// onRefusal returns the pause after a refusal. Its limit doubles, because the number of calling gateways is not known here.
-// The pause is random, because equal pauses would make all gateways call again at once.
+// onRefusal returns the pause after a refusal. Its limit doubles, because the number of calling gateways is not known
+// here. The pause is random, because equal pauses would make all gateways call again at once.
 func (p *Pacer) onRefusal(now time.Duration) time.Duration {
-	limit := p.refusalPause
+	limit := p.refusalPauseLimit
 	if p.nextCallBy > now { // little of MaxUpdateDelay is left, so this pause is short; the next one need not be
 		limit = max(min(limit, p.nextCallBy-now), RetryPause)
 	}
 	p.failing, p.nextCallBy = false, 0
-	p.refusalPause = min(2*p.refusalPause, MaxRefusalPause)
+	p.refusalPauseLimit = min(2*p.refusalPauseLimit, MaxRefusalPause)
 	return p.jitter(limit)
 }
 
@@ -274,14 +279,14 @@
 
 // onFailure returns the pause after a call that failed at once.
 func (p *Pacer) onFailure() time.Duration {
-	pause := p.jitter(p.retryPause)
-	p.failing, p.retryPause = true, p.nextPause(p.retryPause, maxRetryPause)
+	pause := p.jitter(p.retryPauseLimit)
+	p.failing, p.retryPauseLimit = true, p.nextPause(p.retryPauseLimit, maxRetryPause)
 	return pause
 }
 
-// nextPause returns the limit that follows d: 2 d, but at most maxPause. With an agent it returns d: calls to an agent cost
-// nothing, and a change that it gets when discovery returns must be received at once. For the same reason the timeout of calls
-// to an agent does not grow.
+// nextPause returns the limit that follows d: 2 d, but at most maxPause. With an agent it returns d: calls to an agent
+// cost nothing, and a change that it gets when discovery returns must be received at once. For the same reason the
+// timeout of calls to an agent does not grow.
 func (p *Pacer) nextPause(d, maxPause time.Duration) time.Duration {
 	if p.cfg.Agent {
 		return d
--- a/internal/watch/pacer_test.go
+++ b/internal/watch/pacer_test.go
@@ -20,7 +20,7 @@
 // next starts the next call.
 func (d *driver) next() { d.call = d.pacer.Next(d.now) }
 
-// finish ends the current call, passes the pause, and starts the next call.
+// finish ends the current call the given time after its start, passes the pause, and starts the next call.
 func (d *driver) finish(after time.Duration, r Result) {
 	d.now += after
 	d.now += d.pacer.Done(d.now, r).Pause
@@ -43,9 +43,10 @@
 	}
 }
 
-// After any history, the call that returns a change must start early enough to keep MaxUpdateDelay. Discovery has the change and
-// is reachable from a random moment on. The call that is open then does not return it: it times out (a watch is silent), fails
-// or is refused. The first call after that may be refused as well. The rest of MaxUpdateDelay is for the queue and the answer.
+// After any history, the call that returns a change must start early enough to keep MaxUpdateDelay. Discovery has the
+// change and is reachable from a random moment on. The call that is open then does not return it: it times out (a watch
+// is silent), fails or is refused. The first call after that may be refused as well. The rest of MaxUpdateDelay is for
+// the queue and the answer.
 func TestRetryPathsKeepMaxUpdateDelay(t *testing.T) {
 	for _, agent := range []bool{false, true} {
 		worst := map[string]time.Duration{}
@@ -93,9 +94,9 @@
 	}
 }
 
-// The timeout of calls to an agent must not grow with calls that time out. The agent answers at once, and a change that it gets
-// when discovery returns must be received at once. Without an agent the timeout doubles up to its maximum, because
-// discovery serves all gateways.
+// The timeout of calls to an agent must not grow with calls that time out. The agent answers at once, and a change that
+// it gets when discovery returns must be received at once. Without an agent the timeout doubles up to its maximum,
+// because discovery serves all gateways.
 func TestCallTimeoutStaysBounded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		agent bool
@@ -149,8 +150,8 @@
 	}
 }
 
-// A discovery that answers each watch at once without changes must not be called in a busy loop. Without an agent the pauses
-// double up to their maximum. An answer with changes resets them.
+// A discovery that answers each watch at once without changes must not be called in a busy loop. Without an agent the
+// pauses double up to their maximum. An answer with changes resets them.
 func TestImmediateEmptyAnswersCauseNoBusyLoop(t *testing.T) {
 	for _, tc := range []struct {
 		agent    bool
@@ -176,9 +177,9 @@
 	}
 }
 
-// A change that an agent gets when discovery returns must be received at once, and a drain takes effect 0.25 s later. So calls
-// that the agent does not answer must follow one another closely enough to leave time for the answer of the next call. This
-// holds from the first call of a process on, because a process may start while discovery is down.
+// A change that an agent gets when discovery returns must be received at once, and a drain takes effect 0.25 s later.
+// So calls that the agent does not answer must follow one another closely enough to leave time for the answer of the
+// next call. This holds from the first call of a process on, because a process may start while discovery is down.
 func TestSilentAgentIsPolledWithinDrainGrace(t *testing.T) {
 	const grace, answer = 250 * time.Millisecond, 50 * time.Millisecond
 	sim := &driver{pacer: New(Config{Agent: true, HasList: true, Version: 1}, newRand(1))}
