--- a/internal/watch/pacer.go
+++ b/internal/watch/pacer.go
@@ -21,12 +21,12 @@
 //	silent watch, refusal, pause that ends at 5 s, call                      5.0 s + queue
 //	discovery restarted its versions: the call for the full list in addition + queue
 //
-// The longest path is 4.5 s with a full queue, with two exceptions. A silent watch leaves 1.5 s for the queue. A
-// refusal after a call that timed out or after a silent watch leaves 1 s. A path is longer only if discovery refuses
-// twice after the moment from which the delay is counted. A discovery that keeps refusing is serving other callers; the
-// gateway then tries again at most 0.8, 2.4 and 4.9 s after the first refusal. With an agent on the gateway's machine a
-// call times out after 0.2 s and no pause follows. All other pauses with an agent, except those after refusals, are at
-// most 0.05 s.
+// With a full queue these paths take at most 4.5 s, with three exceptions. A refusal after a failed call makes 5.5 s. A
+// silent watch leaves 1.5 s for the queue. A refusal after a call that timed out or after a silent watch leaves 1 s. A
+// path is longer only if discovery refuses twice after the moment from which the delay is counted. A discovery that
+// keeps refusing is serving other callers; the gateway then tries again at most 0.8, 2.4 and 4.9 s after the first
+// refusal. With an agent on the gateway's machine a call times out after 0.2 s and no pause follows. All other pauses
+// with an agent, except those after refusals, are at most 0.05 s.
 //
 // # Required capacity of discovery
 //
